--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -359,7 +359,8 @@
         }
     }
 
-    /// One that comes back after it was down is taken for a new life: not all targets tell of their starts.
+    /// One that comes back after it was down is taken for a new incarnation: not all targets tell of their
+    /// starts.
     fn set_target_up(&mut self, up: bool) {
         if up && !self.target_up {
             self.statement = TargetStatement::default();
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -12,12 +12,14 @@
 mod runs;
 
 use crate::{
-    direct::membership::TargetLife,
+    direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::{BootId, Timestamp},
 };
-pub use report::{CrashRecord, CrashReport, CrashReports, LifeHash, RECORD_LIMIT, REPORT_LIFE};
-pub use runs::{LifePhase, OpenRun, OpenRuns};
+pub use report::{
+    CrashRecord, CrashReport, CrashReports, IncarnationHash, RECORD_LIMIT, REPORT_LIFE,
+};
+pub use runs::{IncarnationPhase, OpenRun, OpenRuns};
 use std::{
     cmp::Reverse,
     collections::{BTreeSet, HashMap, HashSet, VecDeque},
@@ -70,7 +72,7 @@
     /// A target ended while it had these calls. Returns whether the own report has changed.
     pub fn record_crash(
         &mut self,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         calls: &[CallFingerprint],
         now: Timestamp,
     ) -> bool {
@@ -202,7 +204,7 @@
     /// Whether some call was at a target when it ended that has been at more ends than `crashes`. A call
     /// that ends target after target leaves many innocent ones with a few crashes each, but none of them
     /// with as many as its own.
-    fn is_explained(&self, target: LifeHash, crashes: usize) -> bool {
+    fn is_explained(&self, target: IncarnationHash, crashes: usize) -> bool {
         let records = self.reports().flat_map(|report| &report.crashes);
         let calls: HashSet<CallFingerprint> =
             records.filter(|record| record.target == target).map(|record| record.call).collect();
@@ -214,7 +216,7 @@
 
     /// All calls that must not be handed to any target.
     pub fn held_calls(&self) -> HashSet<CallFingerprint> {
-        let mut targets: HashMap<CallFingerprint, BTreeSet<LifeHash>> = HashMap::new();
+        let mut targets: HashMap<CallFingerprint, BTreeSet<IncarnationHash>> = HashMap::new();
         for record in self.reports().flat_map(|report| &report.crashes) {
             targets.entry(record.call).or_default().insert(record.target);
         }
@@ -227,14 +229,14 @@
         self.told.iter().map(|report| &**report).chain([&self.own])
     }
 
-    fn counted(&self, call: CallFingerprint) -> BTreeSet<LifeHash> {
-        let of_call = |records: &[CrashRecord]| -> Vec<LifeHash> {
+    fn counted(&self, call: CallFingerprint) -> BTreeSet<IncarnationHash> {
+        let of_call = |records: &[CrashRecord]| -> Vec<IncarnationHash> {
             let own = records.iter().filter(|record| record.call == call);
             own.map(|record| record.target).collect()
         };
-        let crashes: BTreeSet<LifeHash> =
+        let crashes: BTreeSet<IncarnationHash> =
             self.reports().flat_map(|report| of_call(&report.crashes)).collect();
-        let survivals: BTreeSet<LifeHash> =
+        let survivals: BTreeSet<IncarnationHash> =
             self.reports().flat_map(|report| of_call(&report.survivals)).collect();
         &crashes - &survivals
     }
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -2,7 +2,7 @@
 
 use super::CRASH_LIFE;
 use crate::{
-    direct::membership::TargetLife,
+    direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::{BootId, Timestamp},
 };
@@ -26,8 +26,8 @@
 /// for it renews its report when its crashes no longer count.
 pub const REPORT_LIFE: Duration = CRASH_LIFE.saturating_mul(2);
 
-/// Hash of a target's life.
-pub type LifeHash = u64;
+/// Hash of a target's incarnation.
+pub type IncarnationHash = u64;
 
 /// A call that was at a target. In documents for people it is text: JSON's numbers may lose digits beyond
 /// 53 bits.
@@ -35,14 +35,14 @@
 pub struct CrashRecord {
     /// The call.
     pub call: CallFingerprint,
-    /// The life of the target.
-    pub target: LifeHash,
+    /// The incarnation of the target.
+    pub target: IncarnationHash,
 }
 
 impl CrashRecord {
-    /// A call at a life of a target.
-    pub fn new(call: CallFingerprint, target: &TargetLife) -> Self {
-        Self { call, target: target.life_hash() }
+    /// A call at an incarnation of a target.
+    pub fn new(call: CallFingerprint, target: &TargetIncarnation) -> Self {
+        Self { call, target: target.incarnation_hash() }
     }
 }
 
--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -1,6 +1,6 @@
 //! Runs whose ends a router or agent does not know, until it shows whether their targets have ended.
 
-use crate::{direct::membership::TargetLife, fingerprint::CallFingerprint, ids::Timestamp};
+use crate::{direct::membership::TargetIncarnation, fingerprint::CallFingerprint, ids::Timestamp};
 use std::{
     collections::{BTreeSet, HashMap, VecDeque},
     time::Duration,
@@ -13,12 +13,12 @@
 const OPEN_RUN_LIMIT: usize = 512;
 /// Targets whose last answers a router remembers: more than a fleet has.
 const ANSWER_LIMIT: usize = 2_048;
-/// Ended lives that a router remembers, for calls that break off a little later than the first.
+/// Ended incarnations that a router remembers, for calls that break off a little later than the first.
 const ENDED_LIMIT: usize = 64;
 
-/// What is known of a target's life.
+/// What is known of a target's incarnation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LifePhase {
+pub enum IncarnationPhase {
     /// It lives, as far as is known.
     Alive,
     /// It is leaving by plan, so that its end tells nothing of its calls.
@@ -40,7 +40,7 @@
 
 #[derive(Debug)]
 struct LeftRun {
-    target: TargetLife,
+    target: TargetIncarnation,
     run: OpenRun,
     left: Timestamp,
 }
@@ -49,15 +49,15 @@
 #[derive(Debug, Default)]
 pub struct OpenRuns {
     runs: VecDeque<LeftRun>,
-    /// Lives that have ended, and when.
-    ended: VecDeque<(TargetLife, Timestamp)>,
+    /// Incarnations that have ended, and when.
+    ended: VecDeque<(TargetIncarnation, Timestamp)>,
     /// When each target last answered.
-    answers: HashMap<TargetLife, Timestamp>,
+    answers: HashMap<TargetIncarnation, Timestamp>,
 }
 
 impl OpenRuns {
     /// A target answered: it lives, whatever it broke off before.
-    pub fn note_answer(&mut self, target: &TargetLife, now: Timestamp) {
+    pub fn note_answer(&mut self, target: &TargetIncarnation, now: Timestamp) {
         if self.answers.len() >= ANSWER_LIMIT {
             self.answers.retain(|_, at| now.saturating_sub(*at) < OPEN_RUN_LIFE);
         }
@@ -70,8 +70,13 @@
 
     /// A call left a target without word of how its run ended. Returns when the target ended, if that is
     /// known.
-    pub fn add(&mut self, target: &TargetLife, run: OpenRun, now: Timestamp) -> Option<Timestamp> {
-        let ended = self.ended.iter().find(|(life, _)| life == target);
+    pub fn add(
+        &mut self,
+        target: &TargetIncarnation,
+        run: OpenRun,
+        now: Timestamp,
+    ) -> Option<Timestamp> {
+        let ended = self.ended.iter().find(|(incarnation, _)| incarnation == target);
         if let Some((_, at)) = ended {
             return Some(*at);
         }
@@ -87,7 +92,11 @@
     /// It ended when it first broke a run off after its last answer. Runs that it had broken off before,
     /// and calls that were sent only afterwards, as through a proxy that goes on taking connections for
     /// it, have nothing to do with its end.
-    pub fn take_ended(&mut self, target: &TargetLife, now: Timestamp) -> Vec<CallFingerprint> {
+    pub fn take_ended(
+        &mut self,
+        target: &TargetIncarnation,
+        now: Timestamp,
+    ) -> Vec<CallFingerprint> {
         let (taken, kept): (VecDeque<LeftRun>, VecDeque<LeftRun>) =
             self.runs.drain(..).partition(|left| left.target == *target);
         self.runs = kept;
@@ -106,17 +115,18 @@
     /// Drops runs that are too old or whose targets leave, and returns the targets that have ended.
     pub fn look(
         &mut self,
-        phase: impl Fn(&TargetLife) -> LifePhase,
+        phase: impl Fn(&TargetIncarnation) -> IncarnationPhase,
         now: Timestamp,
-    ) -> Vec<TargetLife> {
+    ) -> Vec<TargetIncarnation> {
         self.runs.retain(|run| now.saturating_sub(run.left) < OPEN_RUN_LIFE);
-        let lives: BTreeSet<TargetLife> = self.runs.iter().map(|run| run.target.clone()).collect();
+        let incarnations: BTreeSet<TargetIncarnation> =
+            self.runs.iter().map(|run| run.target.clone()).collect();
         let mut ended = Vec::new();
-        for life in lives {
-            match phase(&life) {
-                LifePhase::Alive => {}
-                LifePhase::Leaving => self.runs.retain(|run| run.target != life),
-                LifePhase::Ended => ended.push(life),
+        for incarnation in incarnations {
+            match phase(&incarnation) {
+                IncarnationPhase::Alive => {}
+                IncarnationPhase::Leaving => self.runs.retain(|run| run.target != incarnation),
+                IncarnationPhase::Ended => ended.push(incarnation),
             }
         }
         ended
--- a/crates/core/src/direct/budget.rs
+++ b/crates/core/src/direct/budget.rs
@@ -55,8 +55,8 @@
     /// The ratio follows this router's own calls, so shares need no agreement; only the slack is
     /// divided. A router that knows of too few others would overdraw, which [`USED_SHARE`] covers.
     ///
-    /// Within a window of its start a router has no share of the slack: it does not know yet how many
-    /// there are, nor what its life before took. Routers that were killed together while targets failed
+    /// Within a window of its start a router has no share of the slack: it does not know yet how many there
+    /// are, nor what its incarnation before took. Routers that were killed together while targets failed
     /// would otherwise each take all of it, again.
     pub fn try_repeat(&mut self, now: Timestamp, routers: usize) -> bool {
         let first = self.step_number(now).saturating_sub(WINDOW_STEPS as u64 - 1);
--- a/crates/core/src/direct/call.rs
+++ b/crates/core/src/direct/call.rs
@@ -90,7 +90,7 @@
 /// What a router adds to a call that it sends on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OnwardTerms {
-    /// The only life of a target that may run it.
+    /// The only incarnation of a target that may run it.
     pub instance: Arc<str>,
     /// Time left until the caller gives up.
     pub time_left: Duration,
--- a/crates/core/src/direct/demand.rs
+++ b/crates/core/src/direct/demand.rs
@@ -81,7 +81,7 @@
         for (adapter, rate) in &told.rates {
             *self.reported.entry(adapter.clone()).or_default() += rate;
         }
-        if let Some(earlier) = self.by_engine.insert(report.life.id.clone(), told) {
+        if let Some(earlier) = self.by_engine.insert(report.incarnation.id.clone(), told) {
             self.subtract(&earlier);
         }
     }
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -11,7 +11,7 @@
 use super::{
     LimitTag,
     messages::{LimitGrant, MeterTag, UsageGrant, UsageReport, UsageWish},
-    meters::{MeterRegister, first_meter, report_life, report_pause},
+    meters::{MeterRegister, first_meter, report_pause, report_ttl},
     terms::{FleetSize, LimitRule, LimitShares, RETURN_LIMIT, UsageCost, UsageLimit},
 };
 use crate::{
@@ -154,7 +154,7 @@
         if f64::from(cost) > shares.largest {
             return Spend::Decided(SpendVerdict::Refused { room_in: None });
         }
-        let life = report_life(self.fleet.known);
+        let ttl = report_ttl(self.fleet.known);
         let reachable = self.meters.reachable();
         let is_awaited = self.meters.is_awaited(now);
         let seed = self.boot ^ tag;
@@ -165,7 +165,7 @@
         });
         account.used = now;
         account.rule = *rule;
-        account.refill_alone(&shares, life, now);
+        account.refill_alone(&shares, ttl, now);
         if account.waiting.is_empty() && account.fits(cost, &shares) {
             account.spend(cost, now);
             return Spend::Decided(SpendVerdict::Granted);
@@ -251,12 +251,12 @@
     /// Decides calls that have waited too long, and drops accounts that are not used any more.
     pub fn expire(&mut self, now: Timestamp) {
         self.look(now);
-        let life = report_life(self.fleet.known);
+        let ttl = report_ttl(self.fleet.known);
         let is_awaited = self.meters.is_awaited(now);
         for account in self.accounts.values_mut() {
             let shares = account.shares(self.fleet);
             account.drop_unused(&shares, now);
-            account.refill_alone(&shares, life, now);
+            account.refill_alone(&shares, ttl, now);
             while let Some((ticket, cost, _)) = account.waiting.first() {
                 let has_waited = now.saturating_sub(ticket.began) >= WAIT_LIMIT;
                 if (account.meter.is_some() || is_awaited) && !has_waited {
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -210,8 +210,8 @@
     }
 
     /// Adds what a router that reaches no meter may use by itself, once no meter counts it any more.
-    pub(super) fn refill_alone(&mut self, shares: &LimitShares, life: Duration, now: Timestamp) {
-        let from = self.refilled.max(self.alone_since + life);
+    pub(super) fn refill_alone(&mut self, shares: &LimitShares, ttl: Duration, now: Timestamp) {
+        let from = self.refilled.max(self.alone_since + ttl);
         if self.meter.is_some() || now <= from {
             return;
         }
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -14,7 +14,7 @@
     LimitTag,
     bucket::TokenBucket,
     messages::{EnrolmentId, LimitGrant, MeterTag, UsageGrant, UsageReport, UsageWish},
-    meters::{first_meter, report_life},
+    meters::{first_meter, report_ttl},
 };
 use crate::{
     direct::{config::ConfigNumber, target_limit::LimitBook},
@@ -157,14 +157,14 @@
         if passed < COUNT_PAUSE {
             return;
         }
-        let life = report_life(self.router_count);
-        if passed >= life {
+        let ttl = report_ttl(self.router_count);
+        if passed >= ttl {
             self.groups.clear();
         }
         self.refill(now);
         self.counted = now;
         let alive =
-            || self.routers.values().filter(|router| now.saturating_sub(router.heard) < life);
+            || self.routers.values().filter(|router| now.saturating_sub(router.heard) < ttl);
         let mut groups: HashMap<&[MeterTag], usize> = HashMap::new();
         for router in alive() {
             *groups.entry(&router.reachable).or_default() += 1;
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -32,7 +32,7 @@
 }
 
 /// Time for which a router that has reported is taken to use its meter.
-pub fn report_life(routers: usize) -> Duration {
+pub fn report_ttl(routers: usize) -> Duration {
     report_pause(routers).mul_f64(LOST_REPORTS)
 }
 
@@ -97,8 +97,8 @@
 
     fn is_answering(&self, routers: usize, now: Timestamp) -> bool {
         let is_overdue = self.asked.is_some_and(|at| now.saturating_sub(at) >= ANSWER_LIMIT);
-        let life = report_life(routers);
-        !is_overdue && self.answered.is_some_and(|at| now.saturating_sub(at) < life)
+        let ttl = report_ttl(routers);
+        !is_overdue && self.answered.is_some_and(|at| now.saturating_sub(at) < ttl)
     }
 }
 
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -16,7 +16,7 @@
     backlog::PromptBacklog,
     call::AdapterId,
     demand::RECENT_HALF_LIFE,
-    membership::{InstanceId, TargetLife},
+    membership::{InstanceId, TargetIncarnation},
     messages::{AdapterWish, BaseOffer, RouterNotice},
     orders::{EngineOrder, EngineReport, OrderAnswer, OrderVerb},
 };
@@ -75,7 +75,7 @@
 /// What the loader does next.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoaderStep {
-    /// Ask which life of the engine this is.
+    /// Ask which incarnation of the engine this is.
     Identify,
     /// Ask for a report.
     Poll,
@@ -184,10 +184,10 @@
         }
     }
 
-    /// The life of the engine that is ordered.
-    pub fn life(&self) -> Option<TargetLife> {
+    /// The incarnation of the engine that is ordered.
+    pub fn incarnation(&self) -> Option<TargetIncarnation> {
         let id = self.instance.clone()?;
-        Some(TargetLife { id, started: self.report.as_ref()?.started })
+        Some(TargetIncarnation { id, started: self.report.as_ref()?.started })
     }
 
     /// Last report of the engine.
@@ -247,7 +247,7 @@
         self.notices.insert(router, state);
     }
 
-    /// The engine told which life this is. A new life holds nothing that is known.
+    /// The engine told which incarnation this is. A new incarnation holds nothing that is known.
     pub fn take_instance(&mut self, instance: InstanceId) {
         if self.instance.as_ref() != Some(&instance) {
             self.report = None;
@@ -258,11 +258,12 @@
 
     /// The engine reported.
     pub fn take_report(&mut self, report: EngineReport, now: Timestamp) {
-        let is_reborn = self.report.as_ref().is_some_and(|known| is_later_life(known, &report));
+        let is_reborn =
+            self.report.as_ref().is_some_and(|known| is_later_incarnation(known, &report));
         if is_reborn {
-            self.begin_life();
+            self.begin_incarnation();
         } else if !self.is_answering && report.started.is_none() {
-            // Without its start, a life that has ordered as much as the last one looks the same.
+            // Without its start, an incarnation that has ordered as much as the last one looks the same.
             self.instance = None;
         }
         if !std::mem::replace(&mut self.has_met, true) && report.order_count > 0 {
@@ -283,9 +284,9 @@
     }
 
     /// What was known of the engine is no longer true, and what was met may be wished for again.
-    fn begin_life(&mut self) {
+    fn begin_incarnation(&mut self) {
         self.instance = None;
-        self.lost.begin_life();
+        self.lost.begin_incarnation();
         self.loading.clear();
         self.backlog = PromptBacklog::default();
         self.memory = HostMemory::default();
@@ -337,7 +338,7 @@
         self.demand.entry(adapter).or_default().add(f64::from(count), now);
     }
 
-    /// The engine did not answer the question for a report or for its life.
+    /// The engine did not answer the question for a report or for its incarnation.
     pub fn note_silence(&mut self, now: Timestamp) {
         self.is_answering = false;
         self.polled = now;
@@ -350,7 +351,7 @@
             OrderAnswer::Accepted | OrderAnswer::Done => self.apply(order, answer, now),
             OrderAnswer::WrongInstance => self.instance = None,
             OrderAnswer::Silent if matches!(order.verb, OrderVerb::LoadAdapter(..)) => {
-                self.lost.note(&order.life.id, order.order_count, now);
+                self.lost.note(&order.incarnation.id, order.order_count, now);
             }
             OrderAnswer::Conflict | OrderAnswer::Silent => {}
             OrderAnswer::Refused => self.not_before = now + REFUSED_PAUSE,
@@ -385,8 +386,8 @@
         match verb {
             Some(verb) => {
                 let order_count = report.order_count;
-                let life = TargetLife { id, started: report.started };
-                LoaderStep::Order(EngineOrder { verb, order_count, life })
+                let incarnation = TargetIncarnation { id, started: report.started };
+                LoaderStep::Order(EngineOrder { verb, order_count, incarnation })
             }
             None => LoaderStep::Wait(self.next_poll),
         }
@@ -455,8 +456,8 @@
 }
 
 /// Whether an engine that reports anew has started again: its start is another one, or its order count
-/// has fallen, which never happens within a life.
-fn is_later_life(known: &EngineReport, report: &EngineReport) -> bool {
+/// has fallen, which never happens within an incarnation.
+fn is_later_incarnation(known: &EngineReport, report: &EngineReport) -> bool {
     let is_other_start = match (known.started, report.started) {
         (Some(known), Some(started)) => known != started,
         _ => false,
--- a/crates/core/src/direct/loader/host_memory.rs
+++ b/crates/core/src/direct/loader/host_memory.rs
@@ -7,8 +7,8 @@
 /// each.
 const MEMORY_LIMIT: usize = 512;
 
-/// Adapters that the engine held in this life, and when last. The host drops the one held longest ago when
-/// its memory is full, without telling anybody; a load that took too long shows how far that has gone.
+/// Adapters that the engine held in this incarnation, and when last. The host drops the one held longest ago
+/// when its memory is full, without telling anybody; a load that took too long shows how far that has gone.
 #[derive(Debug, Default)]
 pub(super) struct HostMemory {
     held: HashMap<AdapterId, Timestamp>,
--- a/crates/core/src/direct/loader/lost_orders.rs
+++ b/crates/core/src/direct/loader/lost_orders.rs
@@ -1,9 +1,10 @@
-//! Orders that got no answer, and that an engine may still carry out in a later life.
+//! Orders that got no answer, and that an engine may still carry out in a later incarnation.
 //!
 //! An engine checks the order count that an order names only when it carries the order out. Within one
-//! life that is enough: the count never comes back. An engine that starts again under the same id counts
-//! from 0, passes the same counts once more, and a load that was lost before may then take effect on top
-//! of what the loader has ordered since. An engine that is made to hold more than it has room for crashes.
+//! incarnation that is enough: the count never comes back. An engine that starts again under the same id
+//! counts from 0, passes the same counts once more, and a load that was lost before may then take effect on
+//! top of what the loader has ordered since. An engine that is made to hold more than it has room for
+//! crashes.
 
 use crate::{direct::membership::InstanceId, ids::Timestamp};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
@@ -15,16 +16,16 @@
 #[derive(Debug)]
 struct LostOrder {
     id: InstanceId,
-    life_number: u32,
+    incarnation_number: u32,
     order_count: u64,
     given: Timestamp,
 }
 
-/// Loads without an answer, by the life of the engine to which they were given.
+/// Loads without an answer, by the incarnation of the engine to which they were given.
 #[derive(Debug, Default)]
 pub(super) struct LostOrders {
     orders: Vec<LostOrder>,
-    life_number: u32,
+    incarnation_number: u32,
 }
 
 impl LostOrders {
@@ -32,15 +33,15 @@
     pub(super) fn note(&mut self, id: &InstanceId, order_count: u64, now: Timestamp) {
         self.orders.push(LostOrder {
             id: Arc::clone(id),
-            life_number: self.life_number,
+            incarnation_number: self.incarnation_number,
             order_count,
             given: now,
         });
     }
 
-    /// The engine began another life.
-    pub(super) fn begin_life(&mut self) {
-        self.life_number += 1;
+    /// The engine began another incarnation.
+    pub(super) fn begin_incarnation(&mut self) {
+        self.incarnation_number += 1;
     }
 
     /// Forgets what has outlived its time.
@@ -48,11 +49,11 @@
         self.orders.retain(|order| now.saturating_sub(order.given) < LOST_LIFE);
     }
 
-    /// Places that loads lost in earlier lives under the same id may yet take from an engine that has
+    /// Places that loads lost in earlier incarnations under the same id may yet take from an engine that has
     /// reached `order_count`. Of those at one count at most one takes effect.
     pub(super) fn places(&self, id: &InstanceId, order_count: u64) -> usize {
         let earlier = self.orders.iter().filter(|order| {
-            order.life_number != self.life_number
+            order.incarnation_number != self.incarnation_number
                 && order.id == *id
                 && order.order_count >= order_count
         });
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -60,7 +60,7 @@
         far < self.transit.window() && (wish.waiting > 0 || !self.transit.is_congested())
     }
 
-    /// Places kept free for loads that an earlier life of the engine never answered.
+    /// Places kept free for loads that an earlier incarnation of the engine never answered.
     fn reserved_places(&self, report: &EngineReport) -> usize {
         self.instance.as_ref().map_or(0, |id| self.lost.places(id, report.order_count))
     }
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -5,7 +5,7 @@
 //! become silent, leaves or has started again.
 
 use super::LoaderMachine;
-use crate::{direct::membership::TargetLife, ids::Timestamp};
+use crate::{direct::membership::TargetIncarnation, ids::Timestamp};
 use std::{net::SocketAddr, time::Duration};
 
 /// Pause after which a router is told again that an adapter is there for which its calls wait: datagrams
@@ -15,7 +15,7 @@
 /// What all routers with calls or wishes here must know at once when it changes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct EngineState {
-    life: TargetLife,
+    incarnation: TargetIncarnation,
     is_answering: bool,
     is_leaving: bool,
 }
@@ -46,7 +46,11 @@
 
     fn engine_state(&self) -> Option<EngineState> {
         let is_leaving = self.report.as_ref()?.is_leaving;
-        Some(EngineState { life: self.life()?, is_answering: self.is_answering, is_leaving })
+        Some(EngineState {
+            incarnation: self.incarnation()?,
+            is_answering: self.is_answering,
+            is_leaving,
+        })
     }
 
     fn is_due(&self, router: &SocketAddr, now: Timestamp) -> bool {
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -16,7 +16,7 @@
 impl LoaderMachine {
     /// What routers are told.
     pub fn make_report(&mut self, now: Timestamp) -> Option<LoaderReport> {
-        let life = self.life()?;
+        let incarnation = self.incarnation()?;
         let report = self.report.as_ref()?;
         self.sequence += 1;
         let wishes = self.open_wishes(report);
@@ -27,7 +27,7 @@
         Some(LoaderReport {
             boot: self.boot,
             sequence: self.sequence,
-            life,
+            incarnation,
             is_answering: self.is_answering,
             is_leaving: report.is_leaving,
             rates: self.rates(&report.holdings, now),
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -13,28 +13,28 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Id of a target. A target may start again under the id that it had; [`TargetLife`] tells its lives
-/// apart.
+/// Id of a target. A target may start again under the id that it had; [`TargetIncarnation`] tells its
+/// incarnations apart.
 pub type InstanceId = Arc<str>;
 
-/// One life of a target, from one start to the next.
+/// One incarnation of a target, from one start to the next.
 ///
-/// A target that starts again holds nothing, knows nothing, and counts anew, also under the id that it
-/// had. Whatever is believed of a target is therefore kept by its life: places and versions of the life
-/// before would send calls to adapters that are gone, and its counts would fit orders that were meant for
-/// other contents.
+/// A target that starts again holds nothing, knows nothing, and counts anew, also under the id that it had.
+/// Whatever is believed of a target is therefore kept by its incarnation: places and versions of the
+/// incarnation before would send calls to adapters that are gone, and its counts would fit orders that were
+/// meant for other contents.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct TargetLife {
+pub struct TargetIncarnation {
     /// Its id.
     pub id: InstanceId,
-    /// When it started, by its own clock in milliseconds since 1970; `None` if it does not say. Only
-    /// good for telling lives apart: a clock that was set back gives a later life an earlier start.
+    /// When it started, by its own clock in milliseconds since 1970; `None` if it does not say. Only good for
+    /// telling incarnations apart: a clock that was set back gives a later incarnation an earlier start.
     pub started: Option<u64>,
 }
 
-impl TargetLife {
-    /// Hash by which processes tell each other of this life.
-    pub fn life_hash(&self) -> u64 {
+impl TargetIncarnation {
+    /// Hash by which processes tell each other of this incarnation.
+    pub fn incarnation_hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         // Not as a seed: short ids and starts that differ alike would cancel out.
         hasher.update(&self.started.unwrap_or_default().to_le_bytes());
@@ -42,8 +42,8 @@
         hasher.digest()
     }
 
-    /// Whether both can be the same life: a start that is not told fits any.
-    pub fn may_be(&self, other: &Self) -> bool {
+    /// Whether both can be the same incarnation: a start that is not told fits any.
+    pub fn may_equal(&self, other: &Self) -> bool {
         let is_same_start = match (self.started, other.started) {
             (Some(own), Some(theirs)) => own == theirs,
             _ => true,
@@ -52,14 +52,14 @@
     }
 }
 
-impl From<&str> for TargetLife {
-    /// A life of a target that does not say when it started.
+impl From<&str> for TargetIncarnation {
+    /// An incarnation of a target that does not say when it started.
     fn from(id: &str) -> Self {
         Self { id: id.into(), started: None }
     }
 }
 
-impl Display for TargetLife {
+impl Display for TargetIncarnation {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self.started {
             Some(started) => write!(formatter, "{} of {started}", self.id),
@@ -95,8 +95,9 @@
 /// What the list says of a target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetEntry {
-    /// Which life of which target this is.
-    pub life: TargetLife,
+    /// Which incarnation of which target this is.
+    #[serde(rename = "life")]
+    pub incarnation: TargetIncarnation,
     /// Its service.
     pub service: ServiceName,
     /// Where it listens.
@@ -131,11 +132,20 @@
 
     /// All but the adapters that it holds, to be compared and hashed.
     fn without_adapters(&self) -> impl Eq + Hash {
-        let Self { life, service, address, zone, slots, generation, is_leaving, cold, holdings } =
-            self;
+        let Self {
+            incarnation,
+            service,
+            address,
+            zone,
+            slots,
+            generation,
+            is_leaving,
+            cold,
+            holdings,
+        } = self;
         let bases: Vec<_> =
             holdings.iter().map(|holding| (&holding.base, holding.version)).collect();
-        (life, service, address, zone, slots, generation, is_leaving, cold, bases)
+        (incarnation, service, address, zone, slots, generation, is_leaving, cold, bases)
     }
 }
 
@@ -152,7 +162,7 @@
     /// The target that changed.
     pub fn target(&self) -> &InstanceId {
         match self {
-            Self::Put(entry) => &entry.life.id,
+            Self::Put(entry) => &entry.incarnation.id,
             Self::Removed(id) => id,
         }
     }
@@ -185,7 +195,7 @@
     pub fn replace(&mut self, entries: Vec<Arc<TargetEntry>>, now: Timestamp) {
         let mut known = std::mem::take(&mut self.entries);
         for entry in entries {
-            known.remove(&entry.life.id);
+            known.remove(&entry.incarnation.id);
             self.put(entry);
         }
         for (id, entry) in known {
@@ -232,8 +242,8 @@
     }
 
     fn put(&mut self, entry: Arc<TargetEntry>) {
-        self.lapsed.remove(&entry.life.id);
-        self.entries.insert(Arc::clone(&entry.life.id), entry);
+        self.lapsed.remove(&entry.incarnation.id);
+        self.entries.insert(Arc::clone(&entry.incarnation.id), entry);
     }
 
     fn remove(&mut self, id: &InstanceId, now: Timestamp) {
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -4,7 +4,7 @@
 use super::{
     directory::{RouterDirectory, RouterPresence},
     limits::messages::{UsageGrant, UsageReport},
-    membership::{BaseHolding, TargetLife},
+    membership::{BaseHolding, TargetIncarnation},
 };
 use crate::ids::{AdapterName, AdapterVersion, BaseName, BootId};
 use serde::{Deserialize, Serialize};
@@ -85,7 +85,8 @@
     /// Grows with each notice of this start.
     pub sequence: u32,
     /// The target that the router believes to stand beside the loader.
-    pub life: TargetLife,
+    #[serde(rename = "life")]
+    pub incarnation: TargetIncarnation,
     /// Room for adapters at an engine of the service.
     pub adapter_places: u16,
     /// Room for weights and adapters in MB.
@@ -108,7 +109,8 @@
     /// Grows with each report of this start.
     pub sequence: u32,
     /// The engine that the loader orders.
-    pub life: TargetLife,
+    #[serde(rename = "life")]
+    pub incarnation: TargetIncarnation,
     /// Whether the engine answers the loader.
     pub is_answering: bool,
     /// Whether the engine is leaving.
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -7,7 +7,7 @@
 //! which costs a trip of about a millisecond, and what a host sends grows with its own calls alone.
 
 use super::{
-    membership::TargetLife, messages::RouterNotice, target::TargetState, targets::TargetPool,
+    membership::TargetIncarnation, messages::RouterNotice, target::TargetState, targets::TargetPool,
 };
 use crate::ids::{BootId, Timestamp};
 use std::{collections::HashMap, time::Duration};
@@ -38,7 +38,7 @@
 pub struct NoticeSchedule {
     boot: BootId,
     sequence: u32,
-    sent: HashMap<TargetLife, SentNotice>,
+    sent: HashMap<TargetIncarnation, SentNotice>,
 }
 
 impl NoticeSchedule {
@@ -54,10 +54,10 @@
         routers: usize,
         now: Timestamp,
         mut draw: impl FnMut() -> f64,
-    ) -> Vec<TargetLife> {
-        self.sent.retain(|life, _| pool.target(life).is_some());
+    ) -> Vec<TargetIncarnation> {
+        self.sent.retain(|incarnation, _| pool.target(incarnation).is_some());
         let engines = pool.engines().filter(|target| {
-            let sent = self.sent.get(&target.entry.life);
+            let sent = self.sent.get(&target.entry.incarnation);
             match pause(target, sent, now) {
                 Some(pause) => sent.is_none_or(|sent| now.saturating_sub(sent.at) >= pause),
                 // Somebody must tell the loader of an empty engine what to put there. One router in all
@@ -65,38 +65,38 @@
                 None => target.is_empty_engine(now) && draw() * (routers as f64) < 1.0,
             }
         });
-        engines.map(|target| target.entry.life.clone()).collect()
+        engines.map(|target| target.entry.incarnation.clone()).collect()
     }
 
     /// The notice to an engine's loader, which counts as sent.
     pub fn make(
         &mut self,
         pool: &mut TargetPool,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         now: Timestamp,
     ) -> Option<RouterNotice> {
-        let target = pool.target(life)?;
+        let target = pool.target(incarnation)?;
         let spec = pool.engine_of(target)?;
         let (adapter_places, memory_mb) = (spec.adapter_places as u16, spec.memory_mb as f32);
         let is_empty = target.is_empty_engine(now);
-        let last = self.sent.get(life).copied();
+        let last = self.sent.get(incarnation).copied();
         let is_offer = is_empty || last.is_none();
         let bases = if is_offer { TargetPool::base_offers(spec) } else { Vec::new() };
         let asked_lately = last.is_some_and(|sent| now.saturating_sub(sent.asked) < WAIT_PAUSE);
         let asks = target.has_question(now) || is_empty || (target.has_wish() && !asked_lately);
         let asked = if asks { now } else { last.map_or(Duration::ZERO, |sent| sent.asked) };
         let was_engaged = target.is_engaged();
-        let target = pool.target_mut(life)?;
+        let target = pool.target_mut(incarnation)?;
         if is_empty {
             // Calls wait for its base model, but not if nobody is there to load it.
             target.ask(now);
         }
-        self.sent.insert(life.clone(), SentNotice { at: now, asked, was_engaged });
+        self.sent.insert(incarnation.clone(), SentNotice { at: now, asked, was_engaged });
         self.sequence += 1;
         Some(RouterNotice {
             boot: self.boot,
             sequence: self.sequence,
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             adapter_places,
             memory_mb,
             bases,
--- a/crates/core/src/direct/orders.rs
+++ b/crates/core/src/direct/orders.rs
@@ -2,7 +2,7 @@
 
 use super::{
     call::AdapterId,
-    membership::{BaseHolding, TargetLife},
+    membership::{BaseHolding, TargetIncarnation},
 };
 use crate::ids::{AdapterVersion, BaseName};
 
@@ -25,8 +25,8 @@
     pub kv_used: u32,
     /// Whether the engine is leaving.
     pub is_leaving: bool,
-    /// When this life of the engine started, as in [`TargetLife`]; the answer to a health check tells the
-    /// id.
+    /// When this incarnation of the engine started, as in [`TargetIncarnation`]; the answer to a health check
+    /// tells the id.
     pub started: Option<u64>,
 }
 
@@ -78,8 +78,8 @@
     pub verb: OrderVerb,
     /// Order count that the engine must have.
     pub order_count: u64,
-    /// The engine's life for which it is meant.
-    pub life: TargetLife,
+    /// The engine's incarnation for which it is meant.
+    pub incarnation: TargetIncarnation,
 }
 
 /// What the engine answered to an order.
@@ -91,7 +91,7 @@
     Done,
     /// Another order is under way, or the order count differs.
     Conflict,
-    /// It went to another life of the engine.
+    /// It went to another incarnation of the engine.
     WrongInstance,
     /// It was refused for good.
     Refused,
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -3,7 +3,7 @@
 use super::{
     call::CallId,
     config::CallKind,
-    membership::{InstanceId, TargetLife},
+    membership::{InstanceId, TargetIncarnation},
     target_limit::StatedLimit,
 };
 use std::time::Duration;
@@ -19,7 +19,7 @@
     pub is_signed: bool,
     /// Whether the target states that it did not run the call.
     pub states_not_run: bool,
-    /// The life of a target that answered, where it says so.
+    /// The incarnation of a target that answered, where it says so.
     pub instance: Option<InstanceId>,
     /// What it says of the requests that the target takes.
     pub limit: StatedLimit,
@@ -31,7 +31,7 @@
 
 impl AnswerHead {
     /// Whether another target answered than the one that was asked.
-    pub fn is_of_other(&self, asked: &TargetLife) -> bool {
+    pub fn is_of_other(&self, asked: &TargetIncarnation) -> bool {
         self.instance.as_ref().is_some_and(|instance| *instance != asked.id)
     }
 }
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -4,7 +4,7 @@
 use super::{
     backlog::TOKENS_PER_MS,
     call::{AdapterId, ModelCall},
-    membership::TargetLife,
+    membership::TargetIncarnation,
     target::TargetState,
     targets::TargetPool,
     waits::place_ms,
@@ -58,11 +58,11 @@
     /// The router's zone.
     pub zone: &'a ZoneName,
     /// Targets that had the call already.
-    pub excluded: &'a [TargetLife],
+    pub excluded: &'a [TargetIncarnation],
     /// Routers in all.
     pub routers: usize,
     /// Target at which the call already waits for its adapter.
-    pub waiting_at: Option<&'a TargetLife>,
+    pub waiting_at: Option<&'a TargetIncarnation>,
     /// Whether a loader may still be asked before the choice.
     pub may_ask: bool,
 }
@@ -71,11 +71,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TargetChoice {
     /// Send it; the version is what the target holds of the adapter.
-    Send(TargetLife, Option<AdapterVersion>),
+    Send(TargetIncarnation, Option<AdapterVersion>),
     /// Ask its loader, and choose again: what is known of it is old or nothing.
-    Ask(TargetLife),
+    Ask(TargetIncarnation),
     /// Have the adapter loaded there, at this version at least, and send it then.
-    Load(TargetLife, AdapterId, AdapterVersion),
+    Load(TargetIncarnation, AdapterId, AdapterVersion),
     /// Engines are there, and their loaders put the base model on them: it will be served soon.
     AwaitBase,
     /// No target can take it.
@@ -103,7 +103,7 @@
             None => plain_cost(target, need, now),
             Some(call) => {
                 let homes = preferred.as_deref().unwrap_or_default();
-                let is_waited = need.waiting_at == Some(&target.entry.life);
+                let is_waited = need.waiting_at == Some(&target.entry.incarnation);
                 engine_cost(pool, target, call, adapter.as_ref(), homes, is_waited, now)
                     + zone_cost(target, need)
                     + if is_waited {
@@ -123,15 +123,15 @@
             TargetChoice::Nowhere
         };
     };
-    let life = target.entry.life.clone();
-    let Some(adapter) = adapter else { return TargetChoice::Send(life, None) };
+    let incarnation = target.entry.incarnation.clone();
+    let Some(adapter) = adapter else { return TargetChoice::Send(incarnation, None) };
     if need.may_ask && !target.is_sure(&adapter, now) {
-        return TargetChoice::Ask(life);
+        return TargetChoice::Ask(incarnation);
     }
     let newest = pool.newest_version(&adapter);
     match target.held_version(&adapter, now) {
-        Some(held) if held >= newest => TargetChoice::Send(life, Some(held)),
-        _ => TargetChoice::Load(life, adapter, newest),
+        Some(held) if held >= newest => TargetChoice::Send(incarnation, Some(held)),
+        _ => TargetChoice::Load(incarnation, adapter, newest),
     }
 }
 
@@ -153,7 +153,7 @@
     need: &CallNeed<'_>,
     adapter: &AdapterId,
     now: Timestamp,
-) -> Vec<TargetLife> {
+) -> Vec<TargetIncarnation> {
     let rate = pool.demand().rate(adapter, need.routers, now);
     let copies = 1 + (rate / CALLS_PER_COPY) as usize;
     let key = adapter_key(adapter);
@@ -166,11 +166,11 @@
     });
     // A target that turns calls away is no place for copies, unless all others do so too.
     let mut weighted: Vec<(bool, u64, &TargetState)> = usable
-        .map(|target| (!target.is_crowded(now), weight(key, &target.entry.life.id), target))
+        .map(|target| (!target.is_crowded(now), weight(key, &target.entry.incarnation.id), target))
         .collect();
     weighted.sort_unstable_by_key(|(has_room, weight, _)| std::cmp::Reverse((*has_room, *weight)));
     weighted.truncate(copies + 1);
-    weighted.into_iter().map(|(_, _, target)| target.entry.life.clone()).collect()
+    weighted.into_iter().map(|(_, _, target)| target.entry.incarnation.clone()).collect()
 }
 
 fn adapter_key(adapter: &AdapterId) -> u64 {
@@ -188,7 +188,7 @@
         && !target.has_ended()
         && !target.is_at_rest(now)
         && !target.is_dark(now)
-        && !need.excluded.contains(&target.entry.life)
+        && !need.excluded.contains(&target.entry.incarnation)
 }
 
 /// Whether an engine has just started empty and its loader is not known to be silent: after a crash of all
@@ -225,7 +225,7 @@
     target: &TargetState,
     call: &ModelCall,
     adapter: Option<&AdapterId>,
-    preferred: &[TargetLife],
+    preferred: &[TargetIncarnation],
     is_waited: bool,
     now: Timestamp,
 ) -> f64 {
@@ -254,7 +254,7 @@
     pool: &TargetPool,
     target: &TargetState,
     adapter: &AdapterId,
-    preferred: &[TargetLife],
+    preferred: &[TargetIncarnation],
     is_waited: bool,
     now: Timestamp,
 ) -> f64 {
@@ -262,11 +262,12 @@
     if target.held_version(adapter, now).is_some_and(|held| held >= newest) {
         return 0.0;
     }
-    let stray = match preferred.iter().position(|life| *life == target.entry.life) {
-        Some(index) if index + 1 < preferred.len() => 0.0,
-        Some(_) => SPARE_LOADS * pool.usual().load_ms(),
-        None => STRAY_LOADS * pool.usual().load_ms(),
-    };
+    let stray =
+        match preferred.iter().position(|incarnation| *incarnation == target.entry.incarnation) {
+            Some(index) if index + 1 < preferred.len() => 0.0,
+            Some(_) => SPARE_LOADS * pool.usual().load_ms(),
+            None => STRAY_LOADS * pool.usual().load_ms(),
+        };
     if target.is_silent(now) {
         return stray + NO_LOADER_MS;
     }
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -4,7 +4,7 @@
 use super::{
     call::{AdapterId, AdapterRelease},
     config::{ConfigNumber, RouteConfig, record::ConfigRecord},
-    membership::{InstanceId, ListChange, TargetEntry, TargetLife},
+    membership::{InstanceId, ListChange, TargetEntry, TargetIncarnation},
     sharing::{ChangeWeight, LoggedChange, SharedChange},
 };
 use crate::{
@@ -64,7 +64,8 @@
 
     /// Takes a whole list of targets.
     pub fn take_list(&mut self, entries: &[Arc<TargetEntry>]) {
-        let entries = entries.iter().map(|entry| (Arc::clone(&entry.life.id), Arc::clone(entry)));
+        let entries =
+            entries.iter().map(|entry| (Arc::clone(&entry.incarnation.id), Arc::clone(entry)));
         self.targets = entries.collect();
         self.has_targets = true;
     }
@@ -73,7 +74,7 @@
     pub fn take_change(&mut self, change: &ListChange) {
         match change {
             ListChange::Put(entry) => {
-                self.targets.insert(Arc::clone(&entry.life.id), Arc::clone(entry));
+                self.targets.insert(Arc::clone(&entry.incarnation.id), Arc::clone(entry));
             }
             ListChange::Removed(id) => {
                 self.targets.remove(id);
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Whether this life of a target is in the list.
-    pub fn knows_target(&self, life: &TargetLife) -> bool {
-        self.targets.get(&life.id).is_some_and(|entry| entry.life == *life)
+    /// Whether this incarnation of a target is in the list.
+    pub fn knows_target(&self, incarnation: &TargetIncarnation) -> bool {
+        self.targets.get(&incarnation.id).is_some_and(|entry| entry.incarnation == *incarnation)
     }
 
     /// The changes that turn the list as it is known into `whole`.
@@ -95,7 +96,7 @@
         let mut gone = self.targets.clone();
         let mut changes = Vec::new();
         for entry in entries {
-            if gone.remove(&entry.life.id).is_none_or(|known| known != *entry) {
+            if gone.remove(&entry.incarnation.id).is_none_or(|known| known != *entry) {
                 changes.push(SharedChange::Target(ListChange::Put(Arc::clone(entry))));
             }
         }
@@ -110,7 +111,7 @@
     pub fn weigh(&self, change: SharedChange) -> LoggedChange {
         let is_hint = match &change {
             SharedChange::Target(ListChange::Put(entry)) => {
-                let known = self.targets.get(&entry.life.id);
+                let known = self.targets.get(&entry.incarnation.id);
                 known.is_some_and(|known| known.differs_in_adapters_only(entry))
             }
             _ => false,
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -93,9 +93,9 @@
     pub(super) question: Option<Timestamp>,
     /// The question whose silence was noted.
     pub(super) noted_silence: Option<Timestamp>,
-    /// Whether another life was met at its address, so that this one has ended.
+    /// Whether another incarnation was met at its address, so that this one has ended.
     pub(super) is_displaced: bool,
-    /// Whether the list shows a later life at its address.
+    /// Whether the list shows a later incarnation at its address.
     pub(super) is_superseded: bool,
     pub(super) uses: HashMap<AdapterId, UseCounts>,
     pub(super) wishes: HashMap<AdapterId, WishState>,
@@ -229,7 +229,7 @@
         self.statement.is_at_rest(now)
     }
 
-    /// Whether this life has ended, as far as is known.
+    /// Whether this incarnation has ended, as far as is known.
     pub fn has_ended(&self) -> bool {
         self.is_displaced || self.is_superseded
     }
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -109,7 +109,7 @@
 /// What one process tells another of a target's limit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitNews {
-    /// The target's life.
+    /// The target's incarnation.
     pub tag: LimitTag,
     /// The rate; `None` if the limit has ended.
     pub rate: Option<RequestRate>,
--- a/crates/core/src/direct/target_statement.rs
+++ b/crates/core/src/direct/target_statement.rs
@@ -1,8 +1,8 @@
 //! What targets state of themselves in their answers, beside limits: that they leave, and that they want no requests for
-//! a time. It holds for one life of a target, and for what one router sends there.
+//! a time. It holds for one incarnation of a target, and for what one router sends there.
 
 use super::{
-    membership::TargetLife,
+    membership::TargetIncarnation,
     proof::{AnswerHead, MISDIRECTED, RunProof},
 };
 use crate::ids::Timestamp;
@@ -16,8 +16,9 @@
 
 /// Whether an answer says that the target which was asked leaves.
 ///
-/// One that meets another life's request may come from any target that has its address now, unless it names itself.
-pub fn states_leaving(head: &AnswerHead, asked: &TargetLife) -> bool {
+/// One that meets another incarnation's request may come from any target that has its address now, unless it names
+/// itself.
+pub fn states_leaving(head: &AnswerHead, asked: &TargetIncarnation) -> bool {
     let is_from_asked = match &head.instance {
         Some(instance) => *instance == asked.id,
         None => head.status != MISDIRECTED,
@@ -31,10 +32,10 @@
     head.rest.filter(|rest| is_turned_away && !rest.is_zero())
 }
 
-/// What one life of a target has stated.
+/// What one incarnation of a target has stated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetStatement {
-    /// Whether it leaves. A life that leaves does not come back.
+    /// Whether it leaves. An incarnation that leaves does not come back.
     pub is_leaving: bool,
     /// Until when it wants no requests.
     pub rest_until: Timestamp,
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -11,7 +11,7 @@
     demand::FleetDemand,
     health::CallOutcome,
     limits::LimitTag,
-    membership::{InstanceId, ListChange, TargetEntry, TargetLife, TargetList},
+    membership::{InstanceId, ListChange, TargetEntry, TargetIncarnation, TargetList},
     messages::{BaseOffer, LoaderReport},
     pressure::ConcurrencyGauge,
     target::{TargetState, WishState},
@@ -36,7 +36,7 @@
     demand: FleetDemand,
     concurrency: HashMap<ServiceName, ConcurrencyGauge>,
     usual: UsualWaits,
-    /// Targets that have left the list, and may come back in the same life.
+    /// Targets that have left the list, and may come back in the same incarnation.
     departed: HashMap<LimitTag, DepartedTarget>,
 }
 
@@ -131,15 +131,19 @@
         self.list.entries()
     }
 
-    /// One target, if it is in this life.
-    pub fn target(&self, life: &TargetLife) -> Option<&TargetState> {
-        self.targets.get(&life.id).filter(|target| target.entry.life.may_be(life))
+    /// One target, if it is in this incarnation.
+    pub fn target(&self, incarnation: &TargetIncarnation) -> Option<&TargetState> {
+        self.targets
+            .get(&incarnation.id)
+            .filter(|target| target.entry.incarnation.may_equal(incarnation))
     }
 
-    /// One target, to change it, if it is in this life: calls to the life before end later than it, and
-    /// must not count for the next one.
-    pub fn target_mut(&mut self, life: &TargetLife) -> Option<&mut TargetState> {
-        self.targets.get_mut(&life.id).filter(|target| target.entry.life.may_be(life))
+    /// One target, to change it, if it is in this incarnation: calls to the incarnation before end later than
+    /// it, and must not count for the next one.
+    pub fn target_mut(&mut self, incarnation: &TargetIncarnation) -> Option<&mut TargetState> {
+        self.targets
+            .get_mut(&incarnation.id)
+            .filter(|target| target.entry.incarnation.may_equal(incarnation))
     }
 
     /// Targets of a service.
@@ -154,8 +158,8 @@
     }
 
     /// Whether a target's loader is silent, and that was not noted before.
-    pub fn note_silence(&mut self, life: &TargetLife, now: Timestamp) -> bool {
-        self.target_mut(life).is_some_and(|target| target.note_silence(now))
+    pub fn note_silence(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
+        self.target_mut(incarnation).is_some_and(|target| target.note_silence(now))
     }
 
     /// What loaders have told lately of loads, for engines of which nothing is known.
@@ -164,8 +168,8 @@
     }
 
     /// Wants a report of a target's loader; returns whether that is a new question.
-    pub fn ask(&mut self, life: &TargetLife, now: Timestamp) -> bool {
-        self.target_mut(life).is_some_and(|target| target.ask(now))
+    pub fn ask(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
+        self.target_mut(incarnation).is_some_and(|target| target.ask(now))
     }
 
     /// What engines of a target's service have, if it is an engine.
@@ -186,8 +190,8 @@
     /// Takes the report of the loader on a host; an older one than the last of the same start is
     /// dropped. Returns whether it was news.
     pub fn take_report(&mut self, host: IpAddr, report: LoaderReport, now: Timestamp) -> bool {
-        self.displace_others(host, &report.life);
-        let Some(target) = self.target_mut(&report.life) else { return false };
+        self.displace_others(host, &report.incarnation);
+        let Some(target) = self.target_mut(&report.incarnation) else { return false };
         let is_old = target.loader.as_ref().is_some_and(|view| {
             view.report.boot == report.boot && view.report.sequence >= report.sequence
         });
@@ -196,7 +200,7 @@
         }
         self.usual.record(&report);
         self.demand.take_report(&report, now);
-        let Some(target) = self.target_mut(&report.life) else { return false };
+        let Some(target) = self.target_mut(&report.incarnation) else { return false };
         target.take_report(report, now);
         let satisfied: HashSet<AdapterId> = target
             .wishes
@@ -210,13 +214,13 @@
         true
     }
 
-    /// One engine stands on a host: any other entry there is of a life that has ended.
-    fn displace_others(&mut self, host: IpAddr, life: &TargetLife) {
+    /// One engine stands on a host: any other entry there is of an incarnation that has ended.
+    fn displace_others(&mut self, host: IpAddr, incarnation: &TargetIncarnation) {
         let mut has_news = false;
         for target in self.targets.values_mut() {
             let is_engine = !target.entry.holdings.is_empty() || target.loader.is_some();
             let is_here = target.entry.address.ip() == host;
-            let is_other = !target.entry.life.may_be(life);
+            let is_other = !target.entry.incarnation.may_equal(incarnation);
             if is_engine && is_here && is_other && !target.is_displaced {
                 target.is_displaced = true;
                 has_news = true;
@@ -254,11 +258,11 @@
     /// A call goes out to a target; returns whether it is this router's only one there for its adapter.
     pub fn call_started(
         &mut self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         adapter: Option<&AdapterId>,
         tokens: u32,
     ) -> bool {
-        let Some(target) = self.target_mut(life) else { return false };
+        let Some(target) = self.target_mut(incarnation) else { return false };
         target.in_flight += 1;
         target.unread_tokens += tokens;
         let Some(adapter) = adapter else { return false };
@@ -270,44 +274,44 @@
     }
 
     /// The first byte of a call's answer is there, so its prompt has been read.
-    pub fn call_answered(&mut self, life: &TargetLife, tokens: u32) {
-        let Some(target) = self.target_mut(life) else { return };
+    pub fn call_answered(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
+        let Some(target) = self.target_mut(incarnation) else { return };
         target.unread_tokens = target.unread_tokens.saturating_sub(tokens);
     }
 
     /// A call ended; `tokens` if its first byte never came.
-    pub fn call_ended(&mut self, life: &TargetLife, tokens: u32) {
-        let Some(target) = self.target_mut(life) else { return };
+    pub fn call_ended(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
+        let Some(target) = self.target_mut(incarnation) else { return };
         target.in_flight = target.in_flight.saturating_sub(1);
         target.unread_tokens = target.unread_tokens.saturating_sub(tokens);
     }
 
     /// A call's answer has ended that came `time` after its sending.
-    pub fn run_ended(&mut self, life: &TargetLife, time: Duration) {
-        if self.target(life).is_some_and(|target| self.engine_of(target).is_some()) {
+    pub fn run_ended(&mut self, incarnation: &TargetIncarnation, time: Duration) {
+        if self.target(incarnation).is_some_and(|target| self.engine_of(target).is_some()) {
             self.usual.record_run(time);
         }
     }
 
     /// A call uses its adapter no longer; returns whether no other call of this router does there.
-    pub fn use_ended(&mut self, life: &TargetLife, adapter: &AdapterId) -> bool {
-        let counts = self.target_mut(life).and_then(|target| target.uses.get_mut(adapter));
+    pub fn use_ended(&mut self, incarnation: &TargetIncarnation, adapter: &AdapterId) -> bool {
+        let counts = self.target_mut(incarnation).and_then(|target| target.uses.get_mut(adapter));
         let Some(counts) = counts else { return false };
         counts.running = counts.running.saturating_sub(1);
         counts.running == 0
     }
 
-    /// Another life answered at the address of this one.
-    pub fn note_displaced(&mut self, life: &TargetLife) {
-        if let Some(target) = self.target_mut(life) {
+    /// Another incarnation answered at the address of this one.
+    pub fn note_displaced(&mut self, incarnation: &TargetIncarnation) {
+        if let Some(target) = self.target_mut(incarnation) {
             target.is_displaced = true;
             self.mark_superseded();
         }
     }
 
-    /// Two lives at one address: the older one cannot listen there any more, but its entry may stand in
-    /// the list for long, and lists come in no order of time. The later life is taken, until it is met
-    /// to have ended itself.
+    /// Two incarnations at one address: the older one cannot listen there any more, but its entry may stand
+    /// in the list for long, and lists come in no order of time. The later incarnation is taken, until it is
+    /// met to have ended itself.
     fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
         // An entry of a service that is not configured was not written by a target.
@@ -326,22 +330,32 @@
     }
 
     /// Counts how long an answer took.
-    pub fn record_latency(&mut self, life: &TargetLife, latency: Duration, now: Timestamp) {
-        if let Some(target) = self.target_mut(life) {
+    pub fn record_latency(
+        &mut self,
+        incarnation: &TargetIncarnation,
+        latency: Duration,
+        now: Timestamp,
+    ) {
+        if let Some(target) = self.target_mut(incarnation) {
             target.latency.record(latency, now);
         }
     }
 
     /// Counts what a call met.
-    pub fn record_outcome(&mut self, life: &TargetLife, outcome: CallOutcome, now: Timestamp) {
-        if let Some(target) = self.target_mut(life) {
+    pub fn record_outcome(
+        &mut self,
+        incarnation: &TargetIncarnation,
+        outcome: CallOutcome,
+        now: Timestamp,
+    ) {
+        if let Some(target) = self.target_mut(incarnation) {
             target.health.record(outcome, now);
         }
     }
 
     /// Marks a call's first byte as overdue, or no longer so.
-    pub fn mark_overdue(&mut self, life: &TargetLife, is_overdue: bool) {
-        let Some(target) = self.target_mut(life) else { return };
+    pub fn mark_overdue(&mut self, incarnation: &TargetIncarnation, is_overdue: bool) {
+        let Some(target) = self.target_mut(incarnation) else { return };
         target.overdue =
             if is_overdue { target.overdue + 1 } else { target.overdue.saturating_sub(1) };
     }
@@ -350,14 +364,14 @@
     /// objective if the adapter is there by `due`.
     pub fn add_waiter(
         &mut self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         adapter: &AdapterId,
         version: AdapterVersion,
         priority: u8,
         due: Timestamp,
         now: Timestamp,
     ) {
-        let Some(target) = self.target_mut(life) else { return };
+        let Some(target) = self.target_mut(incarnation) else { return };
         let wish = target.wishes.entry(adapter.clone()).or_insert(WishState {
             version,
             waiters: Vec::new(),
@@ -370,8 +384,13 @@
     }
 
     /// A call that was due then waits no longer.
-    pub fn remove_waiter(&mut self, life: &TargetLife, adapter: &AdapterId, due: Timestamp) {
-        let Some(target) = self.target_mut(life) else { return };
+    pub fn remove_waiter(
+        &mut self,
+        incarnation: &TargetIncarnation,
+        adapter: &AdapterId,
+        due: Timestamp,
+    ) {
+        let Some(target) = self.target_mut(incarnation) else { return };
         if let Some(wish) = target.wishes.get_mut(adapter) {
             if let Some(index) = wish.waiters.iter().position(|own| *own == due) {
                 wish.waiters.swap_remove(index);
@@ -385,12 +404,12 @@
     /// Wishes for an adapter ahead of calls; returns whether it is a new wish.
     pub fn prefetch(
         &mut self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         adapter: &AdapterId,
         version: AdapterVersion,
         now: Timestamp,
     ) -> bool {
-        let Some(target) = self.target_mut(life) else { return false };
+        let Some(target) = self.target_mut(incarnation) else { return false };
         if let Some(wish) = target.wishes.get_mut(adapter) {
             wish.version = wish.version.max(version);
             return false;
@@ -400,12 +419,12 @@
         true
     }
 
-    /// Drops wishes ahead of calls that were not met within `life`.
-    pub fn drop_old_prefetches(&mut self, life: Duration, now: Timestamp) {
+    /// Drops wishes ahead of calls that were not met within `max_age`.
+    pub fn drop_old_prefetches(&mut self, max_age: Duration, now: Timestamp) {
         for target in self.targets.values_mut() {
             target
                 .wishes
-                .retain(|_, wish| wish.is_awaited() || now.saturating_sub(wish.made) < life);
+                .retain(|_, wish| wish.is_awaited() || now.saturating_sub(wish.made) < max_age);
         }
     }
 
@@ -415,23 +434,24 @@
         let mut gone = Vec::new();
         self.by_service.clear();
         for entry in self.list.entries() {
-            let is_same_life = |state: &TargetState| state.entry.life.may_be(&entry.life);
-            let state = match old.remove(&entry.life.id) {
-                Some(state) if is_same_life(&state) => {
+            let is_same_incarnation =
+                |state: &TargetState| state.entry.incarnation.may_equal(&entry.incarnation);
+            let state = match old.remove(&entry.incarnation.id) {
+                Some(state) if is_same_incarnation(&state) => {
                     TargetState { entry: Arc::clone(entry), ..state }
                 }
-                other_life => {
-                    gone.extend(other_life);
+                other_incarnation => {
+                    gone.extend(other_incarnation);
                     let mut state = TargetState::new(Arc::clone(entry));
-                    let departed = self.departed.remove(&entry.life.life_hash());
+                    let departed = self.departed.remove(&entry.incarnation.incarnation_hash());
                     let departed = departed.unwrap_or_default();
                     (state.limit, state.statement) = (departed.limit, departed.statement);
                     state
                 }
             };
             let ids = self.by_service.entry(Arc::clone(&entry.service)).or_default();
-            ids.push(Arc::clone(&entry.life.id));
-            self.targets.insert(Arc::clone(&entry.life.id), state);
+            ids.push(Arc::clone(&entry.incarnation.id));
+            self.targets.insert(Arc::clone(&entry.incarnation.id), state);
         }
         for ids in self.by_service.values_mut() {
             ids.sort_unstable();
--- a/crates/core/src/direct/targets/departed.rs
+++ b/crates/core/src/direct/targets/departed.rs
@@ -1,4 +1,5 @@
-//! Targets that have left the list: an entry may lapse while its target lives, and come back in the same life.
+//! Targets that have left the list: an entry may lapse while its target lives, and come back in the same
+//! incarnation.
 
 use super::{
     super::{target::TargetState, target_limit::KnownLimit, target_statement::TargetStatement},
@@ -28,7 +29,7 @@
         let known = departed.filter(|target| target.is_limited() || target.statement.is_known());
         self.departed.extend(known.map(|target| {
             let TargetState { limit, statement, .. } = target;
-            (target.entry.life.life_hash(), DepartedTarget { limit, statement })
+            (target.entry.incarnation.incarnation_hash(), DepartedTarget { limit, statement })
         }));
         self.bound_departed();
     }
--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -3,7 +3,7 @@
 use super::{
     super::{
         limits::LimitTag,
-        membership::TargetLife,
+        membership::TargetIncarnation,
         target_limit::{LimitNews, StatedLimit, limit_news},
     },
     TargetPool,
@@ -16,16 +16,20 @@
     /// returns whether the target's limit has changed.
     pub fn record_limit(
         &mut self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         stated: StatedLimit,
         sent: Timestamp,
         now: Timestamp,
     ) -> bool {
-        self.target_mut(life).is_some_and(|target| target.limit.record(stated, sent, now))
+        self.target_mut(incarnation).is_some_and(|target| target.limit.record(stated, sent, now))
     }
 
     /// Takes what others know of targets' limits; returns the targets whose limits have changed.
-    pub fn take_limit_news(&mut self, news: &[LimitNews], now: Timestamp) -> Vec<TargetLife> {
+    pub fn take_limit_news(
+        &mut self,
+        news: &[LimitNews],
+        now: Timestamp,
+    ) -> Vec<TargetIncarnation> {
         if news.is_empty() {
             return Vec::new();
         }
@@ -33,9 +37,11 @@
             news.iter().map(|news| (news.tag, news)).collect();
         let mut changed = Vec::new();
         for target in self.targets.values_mut() {
-            let Some(news) = by_tag.get(&target.entry.life.life_hash()) else { continue };
+            let Some(news) = by_tag.get(&target.entry.incarnation.incarnation_hash()) else {
+                continue;
+            };
             if target.limit.take_news(news, now) {
-                changed.push(target.entry.life.clone());
+                changed.push(target.entry.incarnation.clone());
             }
         }
         for (tag, departed) in &mut self.departed {
@@ -49,7 +55,8 @@
     /// What to tell others of targets' limits.
     pub fn limit_news(&self, now: Timestamp) -> Vec<LimitNews> {
         let limited = self.targets.values().filter(|target| target.limit.is_news(now));
-        let listed = limited.map(|target| (target.entry.life.life_hash(), &target.limit));
+        let listed =
+            limited.map(|target| (target.entry.incarnation.incarnation_hash(), &target.limit));
         let departed = self.departed.iter().map(|(tag, departed)| (*tag, &departed.limit));
         limit_news(listed.chain(departed), now)
     }
@@ -60,8 +67,8 @@
     }
 
     /// A target's limit was found to have no room until then.
-    pub fn note_full(&mut self, life: &TargetLife, until: Timestamp) {
-        if let Some(target) = self.target_mut(life) {
+    pub fn note_full(&mut self, incarnation: &TargetIncarnation, until: Timestamp) {
+        if let Some(target) = self.target_mut(incarnation) {
             target.full_until = until;
         }
     }
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -3,10 +3,10 @@
 
 use plantain_core::{
     crashes::{
-        CRASH_LIFE, CrashLedger, CrashReport, HOLD_CRASHES, LifePhase, OpenRun, OpenRuns,
+        CRASH_LIFE, CrashLedger, CrashReport, HOLD_CRASHES, IncarnationPhase, OpenRun, OpenRuns,
         RECORD_LIMIT, REPORT_LIFE,
     },
-    direct::membership::TargetLife,
+    direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::Timestamp,
 };
@@ -16,8 +16,8 @@
 const FATAL: CallFingerprint = 7;
 const NOW: Timestamp = Duration::from_secs(1_000);
 
-fn life(number: usize) -> TargetLife {
-    TargetLife { id: format!("i-{number}").into(), started: Some(number as u64) }
+fn incarnation(number: usize) -> TargetIncarnation {
+    TargetIncarnation { id: format!("i-{number}").into(), started: Some(number as u64) }
 }
 
 fn ledger(boot: u64) -> CrashLedger {
@@ -34,7 +34,7 @@
         let mut ledger = ledger(number as u64);
         // Its other calls at that target are innocent.
         let innocent = 1_000 + number as u128;
-        ledger.record_crash(&life(number), &[FATAL, innocent], NOW);
+        ledger.record_crash(&incarnation(number), &[FATAL, innocent], NOW);
         ledger
     };
     (0..count).map(with_crash).collect()
@@ -65,7 +65,7 @@
     let mut hearer = ledger(99);
     for boot in 0..10 {
         let mut router = ledger(boot);
-        router.record_crash(&life(1), &[FATAL], NOW);
+        router.record_crash(&incarnation(1), &[FATAL], NOW);
         hearer.take_report(&report(&router), NOW);
     }
     assert_eq!(hearer.crashes_under(FATAL), 1);
@@ -78,7 +78,7 @@
     let mut teller = ledger(1);
     let mut reports = Vec::new();
     for number in 0..HOLD_CRASHES {
-        teller.record_crash(&life(number), &[FATAL], NOW);
+        teller.record_crash(&incarnation(number), &[FATAL], NOW);
         reports.push(report(&teller));
     }
     let mut hearer = ledger(2);
@@ -93,10 +93,10 @@
 #[test]
 fn a_restart_loses_no_crash() {
     let mut before = ledger(1);
-    before.record_crash(&life(1), &[FATAL], NOW);
-    before.record_crash(&life(2), &[FATAL], NOW);
+    before.record_crash(&incarnation(1), &[FATAL], NOW);
+    before.record_crash(&incarnation(2), &[FATAL], NOW);
     let mut after = ledger(2);
-    after.record_crash(&life(3), &[FATAL], NOW);
+    after.record_crash(&incarnation(3), &[FATAL], NOW);
     let mut told = after.own_report().clone();
     told.add_earlier(before.own_report());
     let mut hearer = ledger(3);
@@ -114,7 +114,7 @@
     for number in 0..50 {
         // Rarely enough that a poll which ended before its crash no longer speaks for it.
         now += Duration::from_secs(30);
-        first.record_crash(&life(number), &[poll], now);
+        first.record_crash(&incarnation(number), &[poll], now);
         second.take_report(&report(&first), now);
         assert!(second.record_survival(poll, now), "no crash left after round {number}");
         first.take_report(&report(&second), now);
@@ -137,7 +137,7 @@
     let mut hearer = ledger(2);
     hearer.record_survival(poll, NOW);
     for number in 0..HOLD_CRASHES {
-        teller.record_crash(&life(number), &[poll], NOW + Duration::from_secs(2));
+        teller.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
     }
     assert!(teller.is_held(poll), "the teller itself has no poll that ended");
     hearer.take_report(&report(&teller), NOW + Duration::from_secs(3));
@@ -148,11 +148,11 @@
     let mut alone = ledger(3);
     alone.record_survival(poll, NOW);
     for number in 0..HOLD_CRASHES {
-        alone.record_crash(&life(number), &[poll], NOW + Duration::from_secs(2));
+        alone.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
     }
     assert!(!alone.is_held(poll));
     for number in HOLD_CRASHES..2 * HOLD_CRASHES {
-        alone.record_crash(&life(number), &[poll], NOW + Duration::from_mins(1));
+        alone.record_crash(&incarnation(number), &[poll], NOW + Duration::from_mins(1));
     }
     assert!(alone.is_held(poll), "a run that ended a minute before proves nothing");
 }
@@ -163,7 +163,7 @@
 fn crashes_grow_old() {
     let mut teller = ledger(1);
     for number in 0..HOLD_CRASHES {
-        teller.record_crash(&life(number), &[FATAL], NOW);
+        teller.record_crash(&incarnation(number), &[FATAL], NOW);
     }
     let mut hearer = ledger(2);
     let mut lonely = ledger(3);
@@ -193,7 +193,7 @@
         calls.insert(150, FATAL);
         // The culprit is among the newest, so it outlives this crash; then it has two and stays.
         calls.rotate_left(151);
-        router.record_crash(&life(number), &calls, NOW);
+        router.record_crash(&incarnation(number), &calls, NOW);
         assert!(router.own_report().crashes.len() <= RECORD_LIMIT);
     }
     assert!(router.is_held(FATAL));
@@ -206,7 +206,7 @@
     let calls: Vec<CallFingerprint> = (0..RECORD_LIMIT as u128).collect();
     for boot in 1..=600 {
         let mut teller = ledger(boot);
-        teller.record_crash(&life(boot as usize), &calls, NOW);
+        teller.record_crash(&incarnation(boot as usize), &calls, NOW);
         hearer.take_report(&report(&teller), NOW + Duration::from_millis(boot));
     }
     // 32,768 records are 128 such reports.
@@ -214,7 +214,7 @@
 }
 
 struct PhaseCase {
-    phase: LifePhase,
+    phase: IncarnationPhase,
     after: Duration,
     ends: bool,
     remains: bool,
@@ -226,21 +226,26 @@
 fn an_abandoned_run_counts_if_its_target_ends_soon() {
     let second = Duration::from_secs(1);
     let cases = [
-        PhaseCase { phase: LifePhase::Alive, after: second, ends: false, remains: true },
-        PhaseCase { phase: LifePhase::Ended, after: second, ends: true, remains: true },
-        PhaseCase { phase: LifePhase::Ended, after: 4 * second, ends: true, remains: true },
-        PhaseCase { phase: LifePhase::Ended, after: 7 * second, ends: false, remains: false },
-        PhaseCase { phase: LifePhase::Leaving, after: second, ends: false, remains: false },
+        PhaseCase { phase: IncarnationPhase::Alive, after: second, ends: false, remains: true },
+        PhaseCase { phase: IncarnationPhase::Ended, after: second, ends: true, remains: true },
+        PhaseCase { phase: IncarnationPhase::Ended, after: 4 * second, ends: true, remains: true },
+        PhaseCase {
+            phase: IncarnationPhase::Ended,
+            after: 7 * second,
+            ends: false,
+            remains: false,
+        },
+        PhaseCase { phase: IncarnationPhase::Leaving, after: second, ends: false, remains: false },
     ];
     for PhaseCase { phase, after, ends, remains } in cases {
         let mut runs = OpenRuns::default();
         let run = OpenRun { call: FATAL, sent: NOW, is_broken: false };
-        assert_eq!(runs.add(&life(1), run, NOW), None);
+        assert_eq!(runs.add(&incarnation(1), run, NOW), None);
         let ended = runs.look(|_| phase, NOW + after);
         assert_eq!(!ended.is_empty(), ends, "{phase:?} after {after:?}");
-        let calls = runs.take_ended(&life(1), NOW + after);
+        let calls = runs.take_ended(&incarnation(1), NOW + after);
         assert_eq!(!calls.is_empty(), remains, "{phase:?} after {after:?}");
-        let known = runs.add(&life(1), run, NOW + after);
+        let known = runs.add(&incarnation(1), run, NOW + after);
         assert_eq!(known, Some(NOW + after), "for calls that break off later than others");
     }
 }
@@ -270,10 +275,10 @@
     let mut runs = OpenRuns::default();
     for case in &cases {
         let run = OpenRun { call: case.call, sent: at(case.sent_ms), is_broken: case.is_broken };
-        assert_eq!(runs.add(&life(1), run, at(case.left_ms)), None);
+        assert_eq!(runs.add(&incarnation(1), run, at(case.left_ms)), None);
     }
-    runs.note_answer(&life(1), at(500));
-    let suspects = runs.take_ended(&life(1), at(1_000));
+    runs.note_answer(&incarnation(1), at(500));
+    let suspects = runs.take_ended(&incarnation(1), at(1_000));
     for case in &cases {
         assert_eq!(suspects.contains(&case.call), case.is_suspect, "call {}", case.call);
     }
@@ -287,15 +292,15 @@
     let companion = 8;
     let mut router = ledger(1);
     for number in 0..5 {
-        router.record_crash(&life(number), &[FATAL], NOW);
+        router.record_crash(&incarnation(number), &[FATAL], NOW);
     }
     for number in 0..HOLD_CRASHES {
-        router.record_crash(&life(number), &[companion], NOW);
+        router.record_crash(&incarnation(number), &[companion], NOW);
     }
     assert!(router.is_held(FATAL));
     assert!(!router.is_held(companion));
     for number in 10..10 + HOLD_CRASHES {
-        router.record_crash(&life(number), &[companion], NOW);
+        router.record_crash(&incarnation(number), &[companion], NOW);
     }
     assert!(router.is_held(companion));
 }
@@ -306,11 +311,11 @@
     fn news_in_any_order_adds_up(crashes: Vec<(u8, u8)>, order: Vec<usize>) -> TestResult {
         let mut tellers: Vec<CrashLedger> = (0..4).map(ledger).collect();
         let mut sent: Vec<Arc<CrashReport>> = Vec::new();
-        let mut lives = std::collections::BTreeSet::new();
+        let mut incarnations = std::collections::BTreeSet::new();
         for (router, target) in crashes {
             let teller = &mut tellers[usize::from(router % 4)];
-            teller.record_crash(&life(usize::from(target)), &[FATAL], NOW);
-            lives.insert(target);
+            teller.record_crash(&incarnation(usize::from(target)), &[FATAL], NOW);
+            incarnations.insert(target);
             sent.push(report(teller));
         }
         if sent.is_empty() {
@@ -324,6 +329,6 @@
         for teller in &tellers {
             hearer.take_report(&report(teller), NOW);
         }
-        TestResult::from_bool(heard <= lives.len() && hearer.crashes_under(FATAL) == lives.len())
+        TestResult::from_bool(heard <= incarnations.len() && hearer.crashes_under(FATAL) == incarnations.len())
     }
 }
--- a/crates/core/tests/core/direct/budget.rs
+++ b/crates/core/tests/core/direct/budget.rs
@@ -52,12 +52,12 @@
         const ROUTERS: usize = 3;
         const LONELY: Duration = Duration::from_millis(1_500);
         let mut now = ALLOWANCE.window;
-        let mut lives =
+        let mut incarnations =
             vec![(RepeatBudget::new(ALLOWANCE, Duration::ZERO), Duration::ZERO); ROUTERS];
         let (mut calls, mut repeats, mut killed) = (Vec::new(), Vec::new(), Duration::ZERO);
         for (choice, pause) in steps {
             now += ms(u64::from(pause % 200));
-            let (budget, started) = &mut lives[usize::from(choice) % ROUTERS];
+            let (budget, started) = &mut incarnations[usize::from(choice) % ROUTERS];
             let is_lonely = now.saturating_sub(*started) < LONELY;
             let known = if is_lonely { 1 } else { ROUTERS };
             match choice % 16 {
@@ -66,7 +66,7 @@
                     calls.push(now);
                 }
                 4 if now.saturating_sub(killed) >= ALLOWANCE.window => {
-                    lives.fill((RepeatBudget::new(ALLOWANCE, now), now));
+                    incarnations.fill((RepeatBudget::new(ALLOWANCE, now), now));
                     killed = now;
                 }
                 _ if budget.try_repeat(now, known) => repeats.push(now),
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -8,7 +8,7 @@
         call::AdapterId,
         directory::{MeetingPoint, RouterPresence, RouterRegister, meeting_targets},
         loader::{LoaderMachine, LoaderStep},
-        membership::{BaseHolding, InstanceId, TargetEntry, TargetLife},
+        membership::{BaseHolding, InstanceId, TargetEntry, TargetIncarnation},
         messages::{LoaderMessage, RouterMessage},
         notices::NoticeSchedule,
         orders::{EngineReport, OrderAnswer, OrderVerb},
@@ -46,7 +46,7 @@
     Call(usize),
     /// A call, of which it is known when it came and whether its adapter was there then.
     Retry(usize, String, u64, bool),
-    Ended(usize, TargetLife, AdapterId),
+    Ended(usize, TargetIncarnation, AdapterId),
 }
 
 struct Router {
@@ -54,7 +54,7 @@
     schedule: NoticeSchedule,
     register: RouterRegister,
     presences: usize,
-    life: u64,
+    incarnation: u64,
 }
 
 struct Loader {
@@ -166,8 +166,8 @@
         self.killed_at = self.now;
         self.counts.first_sent_ms = None;
         for index in 0..self.routers.len() {
-            let life = self.routers[index].life + 1;
-            self.routers[index] = new_router(&self.plan, index, life);
+            let incarnation = self.routers[index].incarnation + 1;
+            self.routers[index] = new_router(&self.plan, index, incarnation);
         }
         for (index, loader) in self.loaders.iter_mut().enumerate() {
             let engine = std::mem::take(&mut loader.engine);
@@ -237,10 +237,10 @@
             Event::Retry(index, name, came, was_held) => {
                 self.try_call(index, name, came, Some(was_held));
             }
-            Event::Ended(index, life, adapter) => {
+            Event::Ended(index, incarnation, adapter) => {
                 let pool = &mut self.routers[index].pool;
-                pool.use_ended(&life, &adapter);
-                pool.call_ended(&life, 0);
+                pool.use_ended(&incarnation, &adapter);
+                pool.call_ended(&incarnation, 0);
             }
         }
     }
@@ -267,25 +267,25 @@
         };
         let rng = &mut self.rng;
         match choose_target(&router.pool, &need, now, || rng.random()) {
-            TargetChoice::Send(life, _) => {
+            TargetChoice::Send(incarnation, _) => {
                 let id = adapter(&name);
-                router.pool.call_started(&life, Some(&id), 0);
-                self.note_sent(&life, &id, came, was_held);
-                self.notify(index, &life);
-                self.push(self.now + RUN_MS, Event::Ended(index, life, id));
+                router.pool.call_started(&incarnation, Some(&id), 0);
+                self.note_sent(&incarnation, &id, came, was_held);
+                self.notify(index, &incarnation);
+                self.push(self.now + RUN_MS, Event::Ended(index, incarnation, id));
             }
-            TargetChoice::Ask(life) => {
-                if router.pool.ask(&life, now) {
-                    self.notify(index, &life);
+            TargetChoice::Ask(incarnation) => {
+                if router.pool.ask(&incarnation, now) {
+                    self.notify(index, &incarnation);
                 }
                 self.push(self.now + 4, Event::Retry(index, name, came, was_held));
             }
-            TargetChoice::Load(life, adapter, version) => {
-                router.pool.prefetch(&life, &adapter, version, now);
-                self.notify(index, &life);
+            TargetChoice::Load(incarnation, adapter, version) => {
+                router.pool.prefetch(&incarnation, &adapter, version, now);
+                self.notify(index, &incarnation);
                 // A load where the adapter is missing, although another engine has it, is no wait for
                 // an answer.
-                let engine = &self.loaders[engine_index(&life.id)].engine;
+                let engine = &self.loaders[engine_index(&incarnation.id)].engine;
                 let was_held = was_held && engine.held(&adapter).is_some();
                 self.push(self.now + WAIT_MS, Event::Retry(index, name, came, was_held));
             }
@@ -295,11 +295,17 @@
         }
     }
 
-    fn note_sent(&mut self, life: &TargetLife, adapter: &AdapterId, came: u64, was_held: bool) {
+    fn note_sent(
+        &mut self,
+        incarnation: &TargetIncarnation,
+        adapter: &AdapterId,
+        came: u64,
+        was_held: bool,
+    ) {
         self.counts.sent += 1;
         let since = self.now - self.killed_at;
         self.counts.first_sent_ms.get_or_insert(since);
-        let engine = &self.loaders[engine_index(&life.id)].engine;
+        let engine = &self.loaders[engine_index(&incarnation.id)].engine;
         if engine.held(adapter).is_none() {
             self.counts.refused += 1;
         }
@@ -316,16 +322,16 @@
         router.pool.drop_old_prefetches(ms(2_000), now);
         let rng = &mut self.rng;
         let due = router.schedule.due(&router.pool, routers, now, || rng.random());
-        for life in due {
-            self.notify(index, &life);
+        for incarnation in due {
+            self.notify(index, &incarnation);
         }
     }
 
-    fn notify(&mut self, index: usize, life: &TargetLife) {
+    fn notify(&mut self, index: usize, incarnation: &TargetIncarnation) {
         let router = &mut self.routers[index];
-        let notice = router.schedule.make(&mut router.pool, life, ms(self.now));
+        let notice = router.schedule.make(&mut router.pool, incarnation, ms(self.now));
         let Some(notice) = notice else { return };
-        let loader = engine_index(&life.id);
+        let loader = engine_index(&incarnation.id);
         self.send_to_loader(index, loader, RouterMessage::Notice(notice));
     }
 
@@ -448,19 +454,19 @@
     }
 }
 
-fn new_router(plan: &FleetPlan, index: usize, life: u64) -> Router {
+fn new_router(plan: &FleetPlan, index: usize, incarnation: u64) -> Router {
     let mut pool = TargetPool::new();
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list((0..plan.engines).map(entry).collect(), ms(0));
-    let boot = life * 1_000_000 + index as u64;
+    let boot = incarnation * 1_000_000 + index as u64;
     let register = RouterRegister::default();
-    Router { pool, schedule: NoticeSchedule::new(boot), register, presences: 0, life }
+    Router { pool, schedule: NoticeSchedule::new(boot), register, presences: 0, incarnation }
 }
 
-fn new_loader(index: usize, life: u64, is_alive: bool) -> Loader {
+fn new_loader(index: usize, incarnation: u64, is_alive: bool) -> Loader {
     let base = BaseHolding { base: BASE.into(), version: 1, adapters: BTreeMap::new() };
     let engine = EngineReport { holdings: vec![base], ..EngineReport::default() };
-    let machine = LoaderMachine::new(life * 1_000_000 + index as u64);
+    let machine = LoaderMachine::new(incarnation * 1_000_000 + index as u64);
     Loader { machine, meeting: MeetingPoint::default(), engine, is_alive }
 }
 
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -1,6 +1,6 @@
 //! The loader's orders, against an engine that loses answers and carries orders out late.
 
-mod lives;
+mod incarnations;
 mod turns;
 
 use super::support::{BASE, adapter, holding, ms};
@@ -48,7 +48,7 @@
     RouterNotice {
         boot: 1,
         sequence,
-        life: "e1".into(),
+        incarnation: "e1".into(),
         adapter_places: PLACES,
         memory_mb: 80_000.0,
         bases: vec![BaseOffer { base: BASE.into(), weights_mb: 70_000.0, adapter_mb: 60.0 }],
--- a/crates/core/tests/core/direct/loader/lives.rs
+++ b/crates/core/tests/core/direct/loader/incarnations.rs
@@ -3,7 +3,7 @@
 use super::{BASE, adapter, machine, ms, notice, order_of, report, router, wish};
 use plantain_core::direct::{
     loader::LoaderStep,
-    membership::TargetLife,
+    membership::TargetIncarnation,
     orders::{EngineReport, OrderAnswer, OrderVerb},
 };
 
@@ -21,13 +21,13 @@
     let step = machine.next_step(ms(14));
     let order = order_of(&step).expect("an order");
     assert_eq!(order.verb, OrderVerb::LoadBase(BASE.into()));
-    assert_eq!((&*order.life.id, order.order_count), ("e2", 0));
+    assert_eq!((&*order.incarnation.id, order.order_count), ("e2", 0));
 }
 
 /// An engine starts again under the id that it had. Its health check names the same id as before, so only
 /// its own word of its start, or a count that fell, shows that it holds nothing of what was loaded.
 #[test]
-fn an_engine_that_starts_again_under_its_id_is_taken_for_another_life() {
+fn an_engine_that_starts_again_under_its_id_is_taken_for_another_incarnation() {
     for (started, order_count) in [(Some(900), 7), (Some(2_000), 9), (None, 0)] {
         let mut machine = machine(7, &[("a", 1)]);
         let first = EngineReport { started: Some(1_000), ..report(7, &[("a", 1)]) };
@@ -42,7 +42,7 @@
         let step = machine.next_step(ms(14));
         let order = order_of(&step).expect("an order");
         assert_eq!(order.verb, OrderVerb::LoadBase(BASE.into()));
-        assert_eq!(order.life, TargetLife { id: "e1".into(), started });
+        assert_eq!(order.incarnation, TargetIncarnation { id: "e1".into(), started });
     }
 }
 
--- a/crates/core/tests/core/direct/membership.rs
+++ b/crates/core/tests/core/direct/membership.rs
@@ -9,7 +9,8 @@
 }
 
 fn ids(list: &TargetList) -> Vec<String> {
-    let mut ids: Vec<String> = list.entries().map(|entry| entry.life.id.to_string()).collect();
+    let mut ids: Vec<String> =
+        list.entries().map(|entry| entry.incarnation.id.to_string()).collect();
     ids.sort();
     ids
 }
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -2,13 +2,13 @@
 
 use super::support::{adapter, ms, pool, report, target};
 use plantain_core::direct::{
-    membership::{TargetEntry, TargetLife},
+    membership::{TargetEntry, TargetIncarnation},
     notices::NoticeSchedule,
     targets::TargetPool,
 };
 use std::sync::Arc;
 
-fn due(schedule: &mut NoticeSchedule, pool: &TargetPool, at: u64) -> Vec<TargetLife> {
+fn due(schedule: &mut NoticeSchedule, pool: &TargetPool, at: u64) -> Vec<TargetIncarnation> {
     let mut due = schedule.due(pool, 2, ms(at), || 1.0);
     due.sort();
     due
@@ -25,7 +25,7 @@
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
     assert!(due(&mut schedule, &pool, 0).is_empty(), "nothing runs or is wanted");
-    let e1: TargetLife = "e1".into();
+    let e1: TargetIncarnation = "e1".into();
     pool.call_started(&e1, Some(&adapter("h7")), 0);
     assert_eq!(due(&mut schedule, &pool, 0), vec![e1.clone()]);
     let notice = schedule.make(&mut pool, &e1, ms(0)).expect("a notice");
@@ -40,7 +40,7 @@
 fn a_loader_is_told_that_nothing_runs_any_more() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
-    let e1: TargetLife = "e1".into();
+    let e1: TargetIncarnation = "e1".into();
     for _ in 0..2 {
         pool.call_started(&e1, Some(&adapter("h7")), 0);
     }
@@ -63,7 +63,7 @@
 fn a_question_is_repeated_until_the_loader_counts_as_silent() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
-    let e2: TargetLife = "e2".into();
+    let e2: TargetIncarnation = "e2".into();
     assert!(pool.ask(&e2, ms(0)), "new");
     assert!(!pool.ask(&e2, ms(10)), "asked already");
     let sent: Vec<u64> = (0..1_000)
@@ -93,7 +93,7 @@
     let empty = TargetEntry { holdings: Vec::new(), ..target("e1", "engines", "a", 1) };
     pool.replace_list(vec![Arc::new(empty)], ms(0));
     let mut schedule = NoticeSchedule::new(1);
-    let e1: TargetLife = "e1".into();
+    let e1: TargetIncarnation = "e1".into();
     assert_eq!(schedule.due(&pool, 100, ms(0), || 0.009), vec![e1.clone()]);
     assert!(schedule.due(&pool, 100, ms(0), || 0.011).is_empty());
     let notice = schedule.make(&mut pool, &e1, ms(0)).expect("a notice");
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -9,7 +9,7 @@
 use plantain_core::direct::{
     call::{AdapterRelease, ModelCall},
     health::CallOutcome,
-    membership::{ListChange, TargetEntry, TargetLife},
+    membership::{ListChange, TargetEntry, TargetIncarnation},
     messages::LoaderReport,
     selection::{CallNeed, TargetChoice, choose_target, preferred_targets, queued_plain_ms},
     targets::TargetPool,
@@ -18,7 +18,7 @@
 
 /// Takes a report as from the host of its target.
 fn take_report(pool: &mut TargetPool, report: LoaderReport, now: Duration) -> bool {
-    let host = pool.target(&report.life).map(|target| target.entry.address.ip());
+    let host = pool.target(&report.incarnation).map(|target| target.entry.address.ip());
     pool.take_report(host.expect("a known target"), report, now)
 }
 
@@ -31,7 +31,7 @@
     service: &str,
     model: Option<&ModelCall>,
     at: u64,
-    excluded: &[TargetLife],
+    excluded: &[TargetIncarnation],
 ) -> TargetChoice {
     let (service, zone) = (service.into(), "a".into());
     let need = CallNeed { excluded, ..need(&service, &zone, model) };
@@ -40,7 +40,7 @@
 
 fn sent_to(choice: &TargetChoice) -> Option<&str> {
     match choice {
-        TargetChoice::Send(life, _) => Some(&life.id),
+        TargetChoice::Send(incarnation, _) => Some(&incarnation.id),
         _ => None,
     }
 }
@@ -173,12 +173,12 @@
     assert!(!pool.target(&"d1".into()).expect("a target").has_ended());
 }
 
-fn life(id: &str, started: u64) -> TargetLife {
-    TargetLife { id: id.into(), started: Some(started) }
+fn incarnation(id: &str, started: u64) -> TargetIncarnation {
+    TargetIncarnation { id: id.into(), started: Some(started) }
 }
 
 fn listed_life(id: &str, started: u64) -> Arc<TargetEntry> {
-    Arc::new(TargetEntry { life: life(id, started), ..target(id, ENGINES, "b", 2) })
+    Arc::new(TargetEntry { incarnation: incarnation(id, started), ..target(id, ENGINES, "b", 2) })
 }
 
 /// An engine starts again under its id, with its clock set back. What earlier calls tell of the life before
@@ -187,9 +187,9 @@
 #[test]
 fn a_life_under_the_same_id_begins_anew() {
     let mut pool = pool();
-    let (first, second) = (life("e2", 9_000), life("e2", 4_000));
+    let (first, second) = (incarnation("e2", 9_000), incarnation("e2", 4_000));
     pool.replace_list(vec![listed_life("e2", 9_000)], ms(0));
-    let held = LoaderReport { life: first.clone(), ..report("e2", 1, &[("h7", 1)]) };
+    let held = LoaderReport { incarnation: first.clone(), ..report("e2", 1, &[("h7", 1)]) };
     take_report(&mut pool, held, ms(10));
     pool.call_started(&first, Some(&adapter("h7")), 600);
     pool.record_outcome(&first, CallOutcome::Failed, ms(20));
@@ -211,11 +211,11 @@
     let mut pool = pool();
     pool.replace_list(vec![listed_life("e2", 1_000)], ms(0));
     let host = listed_life("e2", 1_000).address.ip();
-    let report = LoaderReport { life: life("e2", 2_000), ..report("e2", 1, &[]) };
+    let report = LoaderReport { incarnation: incarnation("e2", 2_000), ..report("e2", 1, &[]) };
     assert!(!pool.take_report(host, report.clone(), ms(10)));
-    assert!(pool.target(&life("e2", 1_000)).expect("a target").has_ended());
+    assert!(pool.target(&incarnation("e2", 1_000)).expect("a target").has_ended());
     pool.apply_changes(&[ListChange::Put(listed_life("e2", 2_000))], ms(20));
-    assert!(!pool.target(&life("e2", 2_000)).expect("a target").has_ended());
+    assert!(!pool.target(&incarnation("e2", 2_000)).expect("a target").has_ended());
     assert!(pool.take_report(host, report, ms(30)));
 }
 
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -6,16 +6,16 @@
 };
 use plantain_core::direct::{
     call::ModelCall,
-    membership::TargetLife,
+    membership::TargetIncarnation,
     messages::LoaderReport,
     selection::{CallNeed, TargetChoice, choose_target},
     targets::TargetPool,
 };
 
 /// The engine at which a call would have its adapter loaded.
-fn loaded_at(pool: &TargetPool, call: &ModelCall) -> TargetLife {
+fn loaded_at(pool: &TargetPool, call: &ModelCall) -> TargetIncarnation {
     match choose(pool, ENGINES, Some(call), 10) {
-        TargetChoice::Load(life, _, _) => life,
+        TargetChoice::Load(incarnation, _, _) => incarnation,
         other => panic!("a load, not {other:?}"),
     }
 }
--- a/crates/core/tests/core/direct/selection/limits.rs
+++ b/crates/core/tests/core/direct/selection/limits.rs
@@ -3,7 +3,7 @@
 use super::{choose, need, sent_to, take_report};
 use crate::direct::support::{DESK, ENGINES, adapter, model_call, ms, pool, report};
 use plantain_core::direct::{
-    membership::TargetLife,
+    membership::TargetIncarnation,
     selection::{TargetChoice, preferred_targets},
     target_limit::{LimitNews, StatedLimit},
     targets::TargetPool,
@@ -12,8 +12,8 @@
 const ALL_ENGINES: [&str; 3] = ["e1", "e2", "e3"];
 
 fn state_limit(pool: &mut TargetPool, id: &str, rate: f64) {
-    let life = TargetLife::from(id);
-    assert!(pool.record_limit(&life, StatedLimit::Limited(rate), ms(1), ms(2)));
+    let incarnation = TargetIncarnation::from(id);
+    assert!(pool.record_limit(&incarnation, StatedLimit::Limited(rate), ms(1), ms(2)));
 }
 
 /// States a limit that has no room until `until`.
@@ -52,13 +52,13 @@
 
 /// Guards against a limit that outlives its target.
 #[test]
-fn a_limit_ends_with_its_targets_life() {
+fn a_limit_ends_with_its_targets_incarnation() {
     let mut pool = pool();
     fill(&mut pool, "d1", 5_000);
     let mut entry = pool.target(&"d1".into()).expect("a target").entry.as_ref().clone();
-    entry.life.started = Some(7);
+    entry.incarnation.started = Some(7);
     let mut other = entry.clone();
-    other.life.started = Some(8);
+    other.incarnation.started = Some(8);
     for entry in [entry, other] {
         let change = plantain_core::direct::membership::ListChange::Put(entry.into());
         pool.apply_changes(&[change], ms(20));
@@ -102,7 +102,10 @@
     pool.note_full(&usual[0], ms(100));
     assert!(!homes(&pool, 200).contains(&usual[0]));
     let choice = choose(&pool, ENGINES, Some(&call), 200);
-    assert!(matches!(&choice, TargetChoice::Load(life, ..) if *life != usual[0]), "{choice:?}");
+    assert!(
+        matches!(&choice, TargetChoice::Load(incarnation, ..) if *incarnation != usual[0]),
+        "{choice:?}"
+    );
     assert_eq!(homes(&pool, 60_000), usual, "no call was turned away for long");
     for id in ALL_ENGINES {
         pool.note_full(&id.into(), ms(100));
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -83,7 +83,9 @@
     for change in changes {
         let SharedChange::Target(change) = change else { continue };
         match change {
-            ListChange::Put(entry) => list.insert(Arc::clone(&entry.life.id), entry.generation),
+            ListChange::Put(entry) => {
+                list.insert(Arc::clone(&entry.incarnation.id), entry.generation)
+            }
             ListChange::Removed(id) => list.remove(id),
         };
     }
@@ -220,7 +222,7 @@
         }),
         case("leaving", needed, |entry| entry.is_leaving = true),
         case("address", needed, |entry| entry.address.set_port(9)),
-        case("another life", needed, |entry| entry.life.started = Some(7)),
+        case("another life", needed, |entry| entry.incarnation.started = Some(7)),
         case("another base model", needed, |entry| entry.holdings[0].base = "other".into()),
         case("other weights", needed, |entry| entry.holdings[0].version += 1),
         case("no base model", needed, |entry| entry.holdings.clear()),
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -310,8 +310,8 @@
 
     fn told_life_is_over(&self, index: usize) -> bool {
         let router = &self.routers[index];
-        let life = router.machine.source().told_life(ms(DRAIN));
-        ms(self.now - router.heard_at) >= life
+        let incarnation = router.machine.source().told_life(ms(DRAIN));
+        ms(self.now - router.heard_at) >= incarnation
     }
 
     fn tell(&mut self, teller: usize, asker: usize) {
--- a/crates/core/tests/core/direct/support.rs
+++ b/crates/core/tests/core/direct/support.rs
@@ -36,7 +36,7 @@
 pub fn target(id: &str, service: &str, zone: &str, port: u16) -> TargetEntry {
     let is_engine = service == ENGINES;
     TargetEntry {
-        life: id.into(),
+        incarnation: id.into(),
         service: service.into(),
         address: ([127, 0, 0, port as u8], port).into(),
         zone: zone.into(),
@@ -101,7 +101,7 @@
     LoaderReport {
         boot: 1,
         sequence,
-        life: id.into(),
+        incarnation: id.into(),
         is_answering: true,
         is_leaving: false,
         holdings: vec![holding(adapters)],
--- a/crates/core/tests/core/direct/target_statement.rs
+++ b/crates/core/tests/core/direct/target_statement.rs
@@ -3,7 +3,7 @@
 use super::support::{DESK, ENGINES, config, model_call, ms, need, report, target};
 use plantain_core::{
     direct::{
-        membership::{ListChange, TargetEntry, TargetLife},
+        membership::{ListChange, TargetEntry, TargetIncarnation},
         proof::{AnswerHead, RunProof},
         selection::{TargetChoice, choose_target, preferred_targets},
         target_limit::StatedLimit,
@@ -74,7 +74,7 @@
     now: Duration,
     /// Start of each target's present life.
     starts: HashMap<&'static str, u64>,
-    said: HashMap<TargetLife, SaidSoFar>,
+    said: HashMap<TargetIncarnation, SaidSoFar>,
 }
 
 impl StatementPlay {
@@ -88,17 +88,18 @@
         play
     }
 
-    fn life(&self, id: &str) -> TargetLife {
-        TargetLife { id: id.into(), started: Some(self.starts[id]) }
+    fn incarnation(&self, id: &str) -> TargetIncarnation {
+        TargetIncarnation { id: id.into(), started: Some(self.starts[id]) }
     }
 
     /// An entry of the present life, or of an earlier one, which says that the target is ready.
     fn entry(&mut self, (id, service, port): (&str, &str, u16)) -> Arc<TargetEntry> {
-        let life = self.life(id);
+        let incarnation = self.incarnation(id);
         let is_old = self.random.random_bool(0.1);
-        let started = life.started.map(|start| if is_old { start.max(2) - 1 } else { start });
-        let life = TargetLife { started, ..life };
-        Arc::new(TargetEntry { life, ..target(id, service, "a", port) })
+        let started =
+            incarnation.started.map(|start| if is_old { start.max(2) - 1 } else { start });
+        let incarnation = TargetIncarnation { started, ..incarnation };
+        Arc::new(TargetEntry { incarnation, ..target(id, service, "a", port) })
     }
 
     fn replace_list(&mut self) {
@@ -110,7 +111,7 @@
     fn step(&mut self) {
         self.now += ms(self.random.random_range(1..400));
         let drawn = TARGETS[self.random.random_range(0..TARGETS.len())];
-        let life = self.life(drawn.0);
+        let incarnation = self.incarnation(drawn.0);
         match self.random.random_range(0..10) {
             0 => self.replace_list(),
             1 => {
@@ -123,19 +124,19 @@
             5 if self.random.random_bool(0.3) => *self.starts.entry(drawn.0).or_default() += 1,
             6 if drawn.1 == ENGINES => {
                 let mut report = report(drawn.0, self.random.random_range(0..9), &[]);
-                report.life = life;
+                report.incarnation = incarnation;
                 let host = [127, 0, 0, drawn.2 as u8].into();
                 self.pool.take_report(host, report, self.now);
             }
             7 if self.random.random_bool(0.3) => {
-                self.said.entry(life.clone()).or_default().is_leaving = true;
-                self.pool.record_leaving(&life, self.now);
+                self.said.entry(incarnation.clone()).or_default().is_leaving = true;
+                self.pool.record_leaving(&incarnation, self.now);
             }
             8 => {
                 let rest = ms(self.random.random_range(0..3_000));
-                let said = self.said.entry(life.clone()).or_default();
+                let said = self.said.entry(incarnation.clone()).or_default();
                 said.rest_until = said.rest_until.max(self.now + rest);
-                self.pool.record_rest(&life, rest, self.now);
+                self.pool.record_rest(&incarnation, rest, self.now);
             }
             _ => {}
         }
@@ -153,14 +154,17 @@
                 preferred_targets(&self.pool, &need, &adapter.expect("an adapter"), self.now)
             });
             let chosen = match choice {
-                TargetChoice::Send(life, _)
-                | TargetChoice::Ask(life)
-                | TargetChoice::Load(life, ..) => Some(life),
+                TargetChoice::Send(incarnation, _)
+                | TargetChoice::Ask(incarnation)
+                | TargetChoice::Load(incarnation, ..) => Some(incarnation),
                 TargetChoice::AwaitBase | TargetChoice::Nowhere => None,
             };
-            for life in chosen.iter().chain(&preferred) {
-                let said = self.said.get(life).copied().unwrap_or_default();
-                assert!(said.takes_calls(self.now), "seed {seed}: {life} was chosen: {said:?}");
+            for incarnation in chosen.iter().chain(&preferred) {
+                let said = self.said.get(incarnation).copied().unwrap_or_default();
+                assert!(
+                    said.takes_calls(self.now),
+                    "seed {seed}: {incarnation} was chosen: {said:?}"
+                );
             }
         }
     }
@@ -186,17 +190,17 @@
 #[test]
 fn an_older_list_does_not_end_what_a_later_life_has_stated() {
     let entry = |started| {
-        let life = TargetLife { id: "d1".into(), started: Some(started) };
-        Arc::new(TargetEntry { life, ..target("d1", DESK, "a", 4) })
+        let incarnation = TargetIncarnation { id: "d1".into(), started: Some(started) };
+        Arc::new(TargetEntry { incarnation, ..target("d1", DESK, "a", 4) })
     };
     let (earlier, present) = (entry(1), entry(2));
     let mut pool = TargetPool::new();
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list(vec![Arc::clone(&present)], ms(0));
-    pool.record_limit(&present.life, StatedLimit::Limited(3.9), ms(10), ms(20));
+    pool.record_limit(&present.incarnation, StatedLimit::Limited(3.9), ms(10), ms(20));
     pool.replace_list(vec![earlier], ms(30));
     pool.replace_list(vec![Arc::clone(&present)], ms(40));
-    let target = pool.target(&present.life).expect("the present life");
+    let target = pool.target(&present.incarnation).expect("the present life");
     assert_eq!(target.limit.rate, Some(3.9));
 }
 
--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -6,7 +6,7 @@
 use crate::watch::{note_failure, platform_backoff};
 use plantain_core::{
     crashes::{CrashLedger, CrashReport, OpenRun, OpenRuns},
-    direct::membership::TargetLife,
+    direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::Timestamp,
 };
@@ -75,7 +75,7 @@
 
     /// A run came to its end.
     pub(super) fn note_survival(&self, call: CallFingerprint) {
-        self.runs.borrow_mut().note_answer(&self.life(), self.now());
+        self.runs.borrow_mut().note_answer(&self.incarnation(), self.now());
         if self.ledger.borrow_mut().record_survival(call, self.now()) {
             self.tell();
         }
@@ -89,7 +89,7 @@
         is_broken: bool,
     ) {
         let run = OpenRun { call, sent: self.now().saturating_sub(age), is_broken };
-        self.runs.borrow_mut().add(&self.life(), run, self.now());
+        self.runs.borrow_mut().add(&self.incarnation(), run, self.now());
         if !self.is_probing.replace(true) {
             let witness = Rc::clone(self);
             spawn_local(async move {
@@ -112,10 +112,10 @@
     }
 
     fn note_end(&self) {
-        let life = self.life();
-        let calls = self.runs.borrow_mut().take_ended(&life, self.now());
+        let incarnation = self.incarnation();
+        let calls = self.runs.borrow_mut().take_ended(&incarnation, self.now());
         self.ends.set(self.ends.get() + 1);
-        if self.ledger.borrow_mut().record_crash(&life, &calls, self.now()) {
+        if self.ledger.borrow_mut().record_crash(&incarnation, &calls, self.now()) {
             warn!(self.logger, "target ended under requests"; "step" => "crashes",
                 "peer" => %self.target, "requests" => calls.len());
             self.tell();
@@ -127,11 +127,11 @@
     }
 
     /// The target's life, as far as this agent can tell lives apart.
-    fn life(&self) -> TargetLife {
+    fn incarnation(&self) -> TargetIncarnation {
         let ledger = self.ledger.borrow();
         let report = ledger.own_report();
         let id = format!("{}/{:016x}", report.router, report.boot);
-        TargetLife { id: id.into(), started: Some(self.ends.get()) }
+        TargetIncarnation { id: id.into(), started: Some(self.ends.get()) }
     }
 
     fn now(&self) -> Timestamp {
--- a/crates/daemon/src/loader.rs
+++ b/crates/daemon/src/loader.rs
@@ -219,7 +219,7 @@
         let (verb, adapter) = describe(order);
         let (far_loads, transit) = self.machine.transit();
         info!(self.logger, "order given"; "step" => "order", "verb" => verb, "adapter" => adapter,
-            "order_count" => order.order_count, "instance" => &*order.life.id, "started" => order.life.started,
+            "order_count" => order.order_count, "instance" => &*order.incarnation.id, "started" => order.incarnation.started,
             "report_age_ms" => self.machine.report_age(began).as_millis() as u64,
             "far_loads" => far_loads, "window" => transit.window(),
             "load_ms" => transit.expected().as_millis() as u64, "answer" => ?answer, "detail" => detail, "took_ms" => took.as_millis() as u64);
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -198,12 +198,13 @@
 fn log_list(entries: &[Arc<TargetEntry>], context: &RouterContext) {
     info!(context.logger, "list of targets"; "step" => "targets", "targets" => entries.len());
     let pool = context.pool.borrow();
-    let mut gone: HashSet<&InstanceId> = pool.entries().map(|entry| &entry.life.id).collect();
+    let mut gone: HashSet<&InstanceId> =
+        pool.entries().map(|entry| &entry.incarnation.id).collect();
     if gone.is_empty() {
         return;
     }
     for entry in entries {
-        gone.remove(&entry.life.id);
+        gone.remove(&entry.incarnation.id);
     }
     let put = entries.iter().map(|entry| ListChange::Put(Arc::clone(entry)));
     let removed = gone.into_iter().map(|id| ListChange::Removed(Arc::clone(id)));
@@ -233,7 +234,7 @@
     match change {
         ListChange::Removed(_) => true,
         ListChange::Put(entry) => {
-            let known = pool.target(&entry.life);
+            let known = pool.target(&entry.incarnation);
             known.is_none_or(|known| known.entry.is_leaving != entry.is_leaving)
         }
     }
@@ -245,19 +246,19 @@
         ListChange::Removed(id) => {
             info!(logger, "target gone"; "step" => "targets", "target" => &**id);
         }
-        ListChange::Put(entry) => match pool.target(&entry.life) {
+        ListChange::Put(entry) => match pool.target(&entry.incarnation) {
             None => {
-                info!(logger, "target new"; "step" => "targets", "target" => &*entry.life.id,
-                    "started" => entry.life.started,
+                info!(logger, "target new"; "step" => "targets", "target" => &*entry.incarnation.id,
+                    "started" => entry.incarnation.started,
                     "address" => %entry.address, "generation" => entry.generation);
             }
             Some(known) if entry.is_leaving && !known.entry.is_leaving => {
-                info!(logger, "target leaves"; "step" => "targets", "target" => &*entry.life.id,
-                    "started" => entry.life.started);
+                info!(logger, "target leaves"; "step" => "targets", "target" => &*entry.incarnation.id,
+                    "started" => entry.incarnation.started);
             }
             Some(known) if known.entry.is_leaving && !entry.is_leaving => {
-                info!(logger, "target stays"; "step" => "targets", "target" => &*entry.life.id,
-                    "started" => entry.life.started);
+                info!(logger, "target stays"; "step" => "targets", "target" => &*entry.incarnation.id,
+                    "started" => entry.incarnation.started);
             }
             Some(_) => {}
         },
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -12,7 +12,7 @@
 };
 use hyper_util::rt::TokioIo;
 use metrics::counter;
-use plantain_core::{direct::membership::TargetLife, ids::Timestamp};
+use plantain_core::{direct::membership::TargetIncarnation, ids::Timestamp};
 use socket2::SockRef;
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{net::TcpStream, task::spawn_local, time::timeout};
@@ -22,7 +22,7 @@
 /// A connection in use by one call.
 pub(crate) struct TargetConnection {
     sender: CallSender,
-    life: TargetLife,
+    incarnation: TargetIncarnation,
 }
 
 struct IdleConnection {
@@ -44,20 +44,20 @@
 /// service after the target has ended, nor by its id: what was open to the life before is dead.
 #[derive(Clone, Default)]
 pub(crate) struct ConnectionPool {
-    idle: Rc<RefCell<HashMap<TargetLife, Vec<IdleConnection>>>>,
+    idle: Rc<RefCell<HashMap<TargetIncarnation, Vec<IdleConnection>>>>,
 }
 
 impl ConnectionPool {
     /// Sends a request on a kept connection or a new one.
     pub(crate) async fn send(
         &self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
     ) -> SendEnd {
-        while let Some(mut sender) = self.take(life) {
+        while let Some(mut sender) = self.take(incarnation) {
             match sender.try_send_request(request).await {
-                Ok(answer) => return answered(answer, sender, life),
+                Ok(answer) => return answered(answer, sender, incarnation),
                 // The connection closed before the request was written, and gives it back.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
@@ -70,7 +70,7 @@
             Err(error) => return SendEnd::Unsent(format!("{error:#}")),
         };
         match sender.try_send_request(request).await {
-            Ok(answer) => answered(answer, sender, life),
+            Ok(answer) => answered(answer, sender, incarnation),
             Err(mut error) => {
                 let is_unsent = error.take_message().is_some();
                 let text = error.into_error().to_string();
@@ -91,11 +91,11 @@
         }
         let pool = self.clone();
         spawn_local(async move {
-            let TargetConnection { mut sender, life } = connection;
+            let TargetConnection { mut sender, incarnation } = connection;
             if let Ok(Ok(())) = timeout(constants::SETTLE_LIMIT, sender.ready()).await {
                 let until = clock::now() + keep;
                 let mut idle = pool.idle.borrow_mut();
-                let kept = idle.entry(life).or_default();
+                let kept = idle.entry(incarnation).or_default();
                 if kept.len() < constants::IDLE_CONNECTIONS {
                     kept.push(IdleConnection { sender, until });
                 }
@@ -117,10 +117,10 @@
     }
 
     /// The connection used last is the least likely to be closed by its target now.
-    fn take(&self, life: &TargetLife) -> Option<CallSender> {
+    fn take(&self, incarnation: &TargetIncarnation) -> Option<CallSender> {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(life)?;
+        let kept = idle.get_mut(incarnation)?;
         while let Some(connection) = kept.pop() {
             if now < connection.until && connection.sender.is_ready() {
                 return Some(connection.sender);
@@ -130,8 +130,12 @@
     }
 }
 
-fn answered(answer: Response<Incoming>, sender: CallSender, life: &TargetLife) -> SendEnd {
-    SendEnd::Answered(answer, TargetConnection { sender, life: life.clone() })
+fn answered(
+    answer: Response<Incoming>,
+    sender: CallSender,
+    incarnation: &TargetIncarnation,
+) -> SendEnd {
+    SendEnd::Answered(answer, TargetConnection { sender, incarnation: incarnation.clone() })
 }
 
 async fn connect(address: SocketAddr) -> Result<CallSender> {
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -14,7 +14,7 @@
         call::{AdapterId, ModelCall},
         directory::{MeetingPoint, PeerView, RouterDirectory, RouterRegister},
         limits::terms::FleetSize,
-        membership::TargetLife,
+        membership::TargetIncarnation,
         selection::{CallNeed, adapter_of, preferred_targets},
         targets::TargetPool,
     },
@@ -53,9 +53,9 @@
     /// Unused connections to targets.
     pub(crate) connections: ConnectionPool,
     /// Wakes calls that wait for an adapter at a target.
-    waiters: RefCell<HashMap<TargetLife, Rc<Notify>>>,
+    waiters: RefCell<HashMap<TargetIncarnation, Rc<Notify>>>,
     /// Loaders to be told of a new wish at once.
-    pub(crate) hurried: RefCell<HashSet<TargetLife>>,
+    pub(crate) hurried: RefCell<HashSet<TargetIncarnation>>,
     /// Wakes the link to loaders.
     pub(crate) hurry: Notify,
     /// The request log.
@@ -201,11 +201,11 @@
 
     /// Wakes the calls that wait for an adapter at a target. Only these: a report comes from each
     /// loader several times a second, and each wake is a choice among all targets.
-    pub(crate) fn wake_waiters(&self, life: &TargetLife) {
+    pub(crate) fn wake_waiters(&self, incarnation: &TargetIncarnation) {
         let mut waiters = self.waiters.borrow_mut();
-        if let Some(notify) = waiters.get(life) {
+        if let Some(notify) = waiters.get(incarnation) {
             if Rc::strong_count(notify) == 1 {
-                waiters.remove(life);
+                waiters.remove(incarnation);
             } else {
                 notify.notify_waiters();
             }
@@ -214,37 +214,37 @@
 
     /// Asks a target's loader for a report and waits for it, or for `limit`; returns whether it was not
     /// being asked already.
-    pub(crate) async fn ask(&self, life: &TargetLife, limit: Duration) -> bool {
-        let is_new = self.pool.borrow_mut().ask(life, clock::now());
+    pub(crate) async fn ask(&self, incarnation: &TargetIncarnation, limit: Duration) -> bool {
+        let is_new = self.pool.borrow_mut().ask(incarnation, clock::now());
         if is_new {
             counter!("plantain_questions_total").increment(1);
-            self.hurry(life);
+            self.hurry(incarnation);
         }
-        let waiter = self.waiter(life);
+        let waiter = self.waiter(incarnation);
         let _ = timeout(limit, waiter.notified()).await;
-        if self.pool.borrow_mut().note_silence(life, clock::now()) {
-            warn!(self.logger, "loader silent"; "step" => "link", "target" => &*life.id,
-                "started" => life.started);
+        if self.pool.borrow_mut().note_silence(incarnation, clock::now()) {
+            warn!(self.logger, "loader silent"; "step" => "link", "target" => &*incarnation.id,
+                "started" => incarnation.started);
         }
         is_new
     }
 
-    fn waiter(&self, life: &TargetLife) -> Rc<Notify> {
-        Rc::clone(self.waiters.borrow_mut().entry(life.clone()).or_default())
+    fn waiter(&self, incarnation: &TargetIncarnation) -> Rc<Notify> {
+        Rc::clone(self.waiters.borrow_mut().entry(incarnation.clone()).or_default())
     }
 
     /// A call uses its adapter no longer. The loader is told at once where it was the last one: it cannot
     /// give the adapter's place to another before, and calls wait for places.
-    fn end_use(&self, life: &TargetLife, adapter: &AdapterId) {
-        let was_last = self.pool.borrow_mut().use_ended(life, adapter);
+    fn end_use(&self, incarnation: &TargetIncarnation, adapter: &AdapterId) {
+        let was_last = self.pool.borrow_mut().use_ended(incarnation, adapter);
         if was_last {
-            self.hurry(life);
+            self.hurry(incarnation);
         }
     }
 
     /// Tells a target's loader of its wishes at once.
-    pub(crate) fn hurry(&self, life: &TargetLife) {
-        self.hurried.borrow_mut().insert(life.clone());
+    pub(crate) fn hurry(&self, incarnation: &TargetIncarnation) {
+        self.hurried.borrow_mut().insert(incarnation.clone());
         self.hurry.notify_one();
     }
 
@@ -267,10 +267,10 @@
             };
             let mut preferred = preferred_targets(&pool, &need, &adapter, now);
             preferred.pop();
-            for life in preferred {
+            for incarnation in preferred {
                 let newest = pool.newest_version(&adapter);
-                if is_missing(&pool, &life, &adapter, newest, now) {
-                    pool.prefetch(&life, &adapter, newest, now);
+                if is_missing(&pool, &incarnation, &adapter, newest, now) {
+                    pool.prefetch(&incarnation, &adapter, newest, now);
                 }
             }
         }
@@ -301,12 +301,12 @@
 
 fn is_missing(
     pool: &TargetPool,
-    life: &TargetLife,
+    incarnation: &TargetIncarnation,
     adapter: &AdapterId,
     newest: AdapterVersion,
     now: Timestamp,
 ) -> bool {
-    pool.target(life).is_some_and(|target| {
+    pool.target(incarnation).is_some_and(|target| {
         target.holds_base(&adapter.base, now)
             && !target.is_coming(adapter, now)
             && target.held_version(adapter, now).is_none_or(|held| held < newest)
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use plantain_core::{
     crashes::OpenRun,
-    direct::{call::AdapterId, membership::TargetLife},
+    direct::{call::AdapterId, membership::TargetIncarnation},
     fingerprint::CallFingerprint,
     ids::{AdapterVersion, Timestamp},
 };
@@ -18,7 +18,7 @@
 /// A call at a target, counted there for as long as this lives, however it ends.
 pub(crate) struct CallGuard {
     context: Rc<RouterContext>,
-    life: TargetLife,
+    incarnation: TargetIncarnation,
     call: CallFingerprint,
     adapter: Option<AdapterId>,
     unread: u32,
@@ -44,20 +44,20 @@
     /// Counts a call whose prompt has `tokens`.
     pub(crate) fn new(
         context: &Rc<RouterContext>,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         call: CallFingerprint,
         adapter: Option<AdapterId>,
         tokens: u32,
     ) -> Self {
-        let is_only = context.pool.borrow_mut().call_started(life, adapter.as_ref(), tokens);
+        let is_only = context.pool.borrow_mut().call_started(incarnation, adapter.as_ref(), tokens);
         if is_only {
             // The loader may be about to evict the adapter: an unload waits for the runs that use it,
             // and holds up all further orders of its engine until they end.
-            context.hurry(life);
+            context.hurry(incarnation);
         }
         Self {
             context: Rc::clone(context),
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             call,
             adapter,
             unread: tokens,
@@ -70,8 +70,8 @@
     }
 
     /// The target.
-    pub(crate) fn target(&self) -> &TargetLife {
-        &self.life
+    pub(crate) fn target(&self) -> &TargetIncarnation {
+        &self.incarnation
     }
 
     /// When it was sent.
@@ -87,7 +87,7 @@
     /// The run came to its end, well or not, and the target lives.
     pub(crate) fn survived(&mut self) {
         self.end = RunEnd::Settled;
-        self.context.note_survival(&self.life, self.call);
+        self.context.note_survival(&self.incarnation, self.call);
     }
 
     /// The target did not say how the call ended, and may still run it.
@@ -99,7 +99,7 @@
     pub(crate) fn answered(&mut self) {
         self.is_answered = true;
         let unread = std::mem::take(&mut self.unread);
-        self.context.pool.borrow_mut().call_answered(&self.life, unread);
+        self.context.pool.borrow_mut().call_answered(&self.incarnation, unread);
         self.set_overdue(false);
     }
 
@@ -107,7 +107,7 @@
     pub(crate) fn set_overdue(&mut self, is_overdue: bool) {
         if self.is_overdue != is_overdue {
             self.is_overdue = is_overdue;
-            self.context.pool.borrow_mut().mark_overdue(&self.life, is_overdue);
+            self.context.pool.borrow_mut().mark_overdue(&self.incarnation, is_overdue);
         }
     }
 }
@@ -118,26 +118,26 @@
         if self.end != RunEnd::Settled {
             let is_broken = self.end == RunEnd::Broken;
             let run = OpenRun { call: self.call, sent: self.sent, is_broken };
-            self.context.note_open_run(&self.life, run);
+            self.context.note_open_run(&self.incarnation, run);
         }
         {
             let mut pool = self.context.pool.borrow_mut();
-            pool.call_ended(&self.life, self.unread);
+            pool.call_ended(&self.incarnation, self.unread);
             if self.is_answered {
-                pool.run_ended(&self.life, clock::now().saturating_sub(self.sent));
+                pool.run_ended(&self.incarnation, clock::now().saturating_sub(self.sent));
             }
         }
         let Some(adapter) = self.adapter.take() else { return };
-        let (context, life) = (Rc::clone(&self.context), self.life.clone());
+        let (context, incarnation) = (Rc::clone(&self.context), self.incarnation.clone());
         if !self.may_run_on {
-            context.end_use(&life, &adapter);
+            context.end_use(&incarnation, &adapter);
             return;
         }
         // An unload of an adapter that is in use holds up its engine, so it counts as in use until the
         // run has most likely ended.
         spawn_local(async move {
             sleep(constants::RUN_ON_TIME).await;
-            context.end_use(&life, &adapter);
+            context.end_use(&incarnation, &adapter);
         });
     }
 }
@@ -146,7 +146,7 @@
 pub(crate) struct WaitGuard {
     context: Rc<RouterContext>,
     woken: Rc<Notify>,
-    life: TargetLife,
+    incarnation: TargetIncarnation,
     adapter: AdapterId,
     version: AdapterVersion,
     due: Timestamp,
@@ -168,17 +168,17 @@
     /// Wishes for the adapter.
     pub(crate) fn new(
         context: &Rc<RouterContext>,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         need: &AdapterNeed<'_>,
     ) -> Self {
         let AdapterNeed { adapter, version, priority, due } = *need;
         let now = clock::now();
-        context.pool.borrow_mut().add_waiter(life, adapter, version, priority, due, now);
-        context.hurry(life);
+        context.pool.borrow_mut().add_waiter(incarnation, adapter, version, priority, due, now);
+        context.hurry(incarnation);
         Self {
             context: Rc::clone(context),
-            woken: context.waiter(life),
-            life: life.clone(),
+            woken: context.waiter(incarnation),
+            incarnation: incarnation.clone(),
             adapter: adapter.clone(),
             version,
             due,
@@ -186,8 +186,8 @@
     }
 
     /// The target.
-    pub(crate) fn target(&self) -> &TargetLife {
-        &self.life
+    pub(crate) fn target(&self) -> &TargetIncarnation {
+        &self.incarnation
     }
 
     /// Waits until the target's loader has news, or for `limit`.
@@ -199,16 +199,16 @@
     /// be wished for anew, or its loader takes the wish for met once the one before is there.
     pub(crate) fn is_for(
         &self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         adapter: &AdapterId,
         version: AdapterVersion,
     ) -> bool {
-        self.life == *life && self.adapter == *adapter && self.version == version
+        self.incarnation == *incarnation && self.adapter == *adapter && self.version == version
     }
 }
 
 impl Drop for WaitGuard {
     fn drop(&mut self) {
-        self.context.pool.borrow_mut().remove_waiter(&self.life, &self.adapter, self.due);
+        self.context.pool.borrow_mut().remove_waiter(&self.incarnation, &self.adapter, self.due);
     }
 }
--- a/crates/daemon/src/router/control/link.rs
+++ b/crates/daemon/src/router/control/link.rs
@@ -376,7 +376,7 @@
     /// Whether a change names a life of a target that is not known yet.
     pub(in crate::router) fn is_new_target(&self, change: &FollowedChange) -> bool {
         let FollowedChange::Target(ListChange::Put(entry)) = change else { return false };
-        !self.state.borrow().knows_target(&entry.life)
+        !self.state.borrow().knows_target(&entry.incarnation)
     }
 
     /// What a whole list that was told changes of what is known, as the log keeps it.
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -6,8 +6,8 @@
 use crate::clock;
 use metrics::counter;
 use plantain_core::{
-    crashes::{CrashReport, LifePhase, OpenRun},
-    direct::membership::TargetLife,
+    crashes::{CrashReport, IncarnationPhase, OpenRun},
+    direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::Timestamp,
 };
@@ -21,7 +21,7 @@
 
 impl RouterContext {
     /// A call's run has come to its end at a target, well or not.
-    pub(crate) fn note_survival(&self, target: &TargetLife, call: CallFingerprint) {
+    pub(crate) fn note_survival(&self, target: &TargetIncarnation, call: CallFingerprint) {
         let now = clock::now();
         self.crashes.runs.borrow_mut().note_answer(target, now);
         let is_news = self.crashes.ledger.borrow_mut().record_survival(call, now);
@@ -35,7 +35,7 @@
     }
 
     /// A call left a target without word of how its run ended.
-    pub(crate) fn note_open_run(self: &Rc<Self>, target: &TargetLife, run: OpenRun) {
+    pub(crate) fn note_open_run(self: &Rc<Self>, target: &TargetIncarnation, run: OpenRun) {
         let ended = self.crashes.runs.borrow_mut().add(target, run, clock::now());
         match ended {
             Some(at) if run.sent <= at => self.record_crash(target, &[run.call], "ended before"),
@@ -47,7 +47,7 @@
     /// Tries whether a target that broke a call off still listens. Where nothing does any more, its process
     /// has ended. Where something does, only the connection or the answer was harmed, or another life of the
     /// target has started already, which the list will tell: by itself a broken call is no crash.
-    fn probe(self: &Rc<Self>, target: &TargetLife) {
+    fn probe(self: &Rc<Self>, target: &TargetIncarnation) {
         let address = self.pool.borrow().target(target).map(|target| target.entry.address);
         let Some(address) = address else { return };
         if !self.crashes.probed.borrow_mut().insert(target.clone()) {
@@ -67,11 +67,13 @@
     pub(crate) fn look_for_crashes(&self, now: Timestamp) {
         let ended = {
             let pool = self.pool.borrow();
-            let phase = |life: &TargetLife| match pool.target(life) {
-                None => LifePhase::Ended,
-                Some(target) if target.is_leaving() => LifePhase::Leaving,
-                Some(target) if target.has_ended() || target.is_dark(now) => LifePhase::Ended,
-                Some(_) => LifePhase::Alive,
+            let phase = |incarnation: &TargetIncarnation| match pool.target(incarnation) {
+                None => IncarnationPhase::Ended,
+                Some(target) if target.is_leaving() => IncarnationPhase::Leaving,
+                Some(target) if target.has_ended() || target.is_dark(now) => {
+                    IncarnationPhase::Ended
+                }
+                Some(_) => IncarnationPhase::Alive,
             };
             self.crashes.runs.borrow_mut().look(phase, now)
         };
@@ -87,12 +89,12 @@
         }
     }
 
-    fn note_end(&self, target: &TargetLife, evidence: &str) {
+    fn note_end(&self, target: &TargetIncarnation, evidence: &str) {
         let calls = self.crashes.runs.borrow_mut().take_ended(target, clock::now());
         self.record_crash(target, &calls, evidence);
     }
 
-    fn record_crash(&self, target: &TargetLife, calls: &[CallFingerprint], evidence: &str) {
+    fn record_crash(&self, target: &TargetIncarnation, calls: &[CallFingerprint], evidence: &str) {
         let is_news = {
             let mut ledger = self.crashes.ledger.borrow_mut();
             ledger.record_crash(target, calls, clock::now())
--- a/crates/daemon/src/router/crashes/keeper.rs
+++ b/crates/daemon/src/router/crashes/keeper.rs
@@ -3,7 +3,7 @@
 use crate::clock;
 use plantain_core::{
     crashes::{CRASH_LIFE, CrashLedger, CrashReport, OpenRuns},
-    direct::membership::TargetLife,
+    direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::{BootId, Timestamp},
 };
@@ -23,7 +23,7 @@
     pub(super) ledger: RefCell<CrashLedger>,
     pub(super) runs: RefCell<OpenRuns>,
     /// Targets to which a connection is being tried.
-    pub(super) probed: RefCell<HashSet<TargetLife>>,
+    pub(super) probed: RefCell<HashSet<TargetIncarnation>>,
     /// Calls that are held back, as far as was logged.
     pub(super) held: RefCell<HashSet<CallFingerprint>>,
     /// When the report was last told.
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -24,7 +24,7 @@
         call::{AdapterId, CallHead},
         config::RouteRule,
         customers::{CallerIdentity, CustomerRule},
-        membership::TargetLife,
+        membership::TargetIncarnation,
         pressure::shed_share,
         proof::{FinalWord, RunProof, final_word, may_send_again},
         selection::{CallNeed, TargetChoice, adapter_of, choose_target, queued_plain_ms},
@@ -84,7 +84,7 @@
 
 /// A target that was chosen for a send.
 struct ChosenTarget {
-    life: TargetLife,
+    incarnation: TargetIncarnation,
     /// What it holds of the call's adapter.
     version: Option<AdapterVersion>,
     /// What was counted against its limit, if it has one.
@@ -120,7 +120,7 @@
     pub(crate) deadline: Timestamp,
     pub(crate) record: CallRecord,
     pub(crate) resume_after: Option<u64>,
-    excluded: Vec<TargetLife>,
+    excluded: Vec<TargetIncarnation>,
     is_finished: Cell<bool>,
 }
 
@@ -252,7 +252,7 @@
                 self.give_back_turn(choice.turn);
                 return self.give_up(last, GivenUp::NotRun(constants::BUSY_PAUSE));
             }
-            let life = choice.life.clone();
+            let incarnation = choice.incarnation.clone();
             let failure = match self.send(choice).await {
                 Ok(answer) => return Opened::Success(answer),
                 Err(failure) => failure,
@@ -265,7 +265,7 @@
             {
                 return self.give_up(last, GivenUp::NotRun(constants::BUSY_PAUSE));
             }
-            self.excluded.push(life);
+            self.excluded.push(incarnation);
         }
     }
 
@@ -314,7 +314,11 @@
         expected.is_some_and(|expected| shed_share(expected, self.route.objective) > 0.0)
     }
 
-    fn need<'a>(&'a self, zone: &'a ZoneName, waiting_at: Option<&'a TargetLife>) -> CallNeed<'a> {
+    fn need<'a>(
+        &'a self,
+        zone: &'a ZoneName,
+        waiting_at: Option<&'a TargetIncarnation>,
+    ) -> CallNeed<'a> {
         let waited = self.age().as_millis() / constants::QUESTION_PAUSE.as_millis();
         CallNeed {
             service: &self.service,
@@ -353,17 +357,19 @@
                 return Err(constants::RETURN_PAUSE);
             }
             match self.choose_now(waiting.as_ref()) {
-                TargetChoice::Send(life, version) => match self.context.take_turn(&life).await {
-                    // It may have spoken while the turn was waited for.
-                    TargetTurn::Granted(turn) if !self.context.is_open(&life) => {
-                        self.give_back_turn(turn);
+                TargetChoice::Send(incarnation, version) => {
+                    match self.context.take_turn(&incarnation).await {
+                        // It may have spoken while the turn was waited for.
+                        TargetTurn::Granted(turn) if !self.context.is_open(&incarnation) => {
+                            self.give_back_turn(turn);
+                        }
+                        TargetTurn::Granted(turn) => {
+                            self.record.load_wait += clock::now().saturating_sub(began);
+                            return Ok(ChosenTarget { incarnation, version, turn });
+                        }
+                        TargetTurn::Full(grounds) => self.note(&grounds),
                     }
-                    TargetTurn::Granted(turn) => {
-                        self.record.load_wait += clock::now().saturating_sub(began);
-                        return Ok(ChosenTarget { life, version, turn });
-                    }
-                    TargetTurn::Full(grounds) => self.note(&grounds),
-                },
+                }
                 TargetChoice::Nowhere => {
                     if let Some(rest) = self.context.rest_left(&self.service) {
                         self.note(&format!(
@@ -387,8 +393,8 @@
                     ));
                     return Err(constants::RETURN_PAUSE);
                 }
-                TargetChoice::Ask(life) => {
-                    let is_new = self.context.ask(&life, constants::QUESTION_LOOK).await;
+                TargetChoice::Ask(incarnation) => {
+                    let is_new = self.context.ask(&incarnation, constants::QUESTION_LOOK).await;
                     self.record.questions += u32::from(is_new);
                 }
                 TargetChoice::AwaitBase if !can_wait(began) => {
@@ -396,13 +402,13 @@
                     return Err(constants::RETURN_PAUSE);
                 }
                 TargetChoice::AwaitBase => sleep(constants::LOAD_LOOK).await,
-                TargetChoice::Load(life, adapter, version) => {
+                TargetChoice::Load(incarnation, adapter, version) => {
                     let is_same = waiting
                         .as_ref()
-                        .is_some_and(|guard| guard.is_for(&life, &adapter, version));
+                        .is_some_and(|guard| guard.is_for(&incarnation, &adapter, version));
                     if !is_same {
-                        self.note(&format!("load {}@{version} at {life}", adapter.name));
-                        waiting = Some(self.wait_for(&life, &adapter, version));
+                        self.note(&format!("load {}@{version} at {incarnation}", adapter.name));
+                        waiting = Some(self.wait_for(&incarnation, &adapter, version));
                     }
                     if let Some(guard) = &waiting {
                         guard.news(constants::LOAD_LOOK).await;
@@ -416,18 +422,18 @@
     /// its answer, by what its answers took lately.
     fn wait_for(
         &self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         adapter: &AdapterId,
         version: AdapterVersion,
     ) -> WaitGuard {
         let answer_ms = {
             let pool = self.context.pool.borrow();
-            pool.target(life).map_or(0.0, |target| target.latency.read_ms(clock::now()))
+            pool.target(incarnation).map_or(0.0, |target| target.latency.read_ms(clock::now()))
         };
         let objective = self.started + self.route.objective;
         let due = objective.saturating_sub(Duration::from_secs_f64(answer_ms / 1_000.0));
         let wish = AdapterNeed { adapter, version, priority: self.priority(), due };
-        WaitGuard::new(&self.context, life, &wish)
+        WaitGuard::new(&self.context, incarnation, &wish)
     }
 
     fn choose_now(&self, waiting: Option<&WaitGuard>) -> TargetChoice {
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -17,7 +17,7 @@
     direct::{
         call::OnwardTerms,
         health::CallOutcome,
-        membership::TargetLife,
+        membership::TargetIncarnation,
         proof::{FailureReply, RunProof, counts_as_run, failure_reply, judge_answer, limit_word},
         selection::adapter_of,
     },
@@ -38,31 +38,36 @@
 impl CallExchange {
     /// Sends the call to one target.
     pub(super) async fn send(&mut self, choice: ChosenTarget) -> Result<OpenAnswer, SendFailure> {
-        let ChosenTarget { life, version, turn } = choice;
-        let life = &life;
+        let ChosenTarget { incarnation, version, turn } = choice;
+        let incarnation = &incarnation;
         let adapter = self.head.model.as_ref().and_then(adapter_of);
         let tokens = self.head.model.as_ref().map_or(0, |model| model.tokens_in);
-        self.record.target = Some(life.clone());
+        self.record.target = Some(incarnation.clone());
         self.record.adapter = adapter.clone().map(|adapter| (adapter, version));
         let sent = clock::now();
         let address = {
             let pool = self.context.pool.borrow();
-            let target = pool.target(life);
+            let target = pool.target(incarnation);
             let view = target.and_then(|target| target.loader.as_ref());
             self.record.report_age = view.map(|view| sent.saturating_sub(view.received));
             target.map(|target| target.entry.address)
         };
-        let request = self.target_request(life, version);
+        let request = self.target_request(incarnation, version);
         let (Some(address), Some(request)) = (address, request) else {
             self.give_back_turn(turn);
             return Err(SendFailure { proof: RunProof::NotRun, reply: None });
         };
-        let mut guard =
-            CallGuard::new(&self.context, life, self.record.fingerprint, adapter.clone(), tokens);
+        let mut guard = CallGuard::new(
+            &self.context,
+            incarnation,
+            self.record.fingerprint,
+            adapter.clone(),
+            tokens,
+        );
         self.record.phase = CallPhase::Sent;
         self.record.sends += 1;
         self.record.runs += 1;
-        let end = self.await_answer(life, address, request, &mut guard).await;
+        let end = self.await_answer(incarnation, address, request, &mut guard).await;
         let (proof, outcome) = match end {
             Some(SendEnd::Answered(answer, connection)) => {
                 let latency = clock::now().saturating_sub(sent);
@@ -71,23 +76,23 @@
             Some(SendEnd::Unsent(reason)) => {
                 self.give_back_turn(turn);
                 guard.set_end(RunEnd::Settled);
-                self.note(&format!("{life} not reached: {reason}"));
+                self.note(&format!("{incarnation} not reached: {reason}"));
                 (RunProof::NotRun, CallOutcome::Silent)
             }
             // It answers connections, and loses answers: others need not be kept from it altogether.
             Some(SendEnd::Broken(reason)) => {
                 guard.set_may_run_on();
                 guard.set_end(RunEnd::Broken);
-                self.note(&format!("{life} broke off: {reason}"));
+                self.note(&format!("{incarnation} broke off: {reason}"));
                 (RunProof::Unknown, CallOutcome::Failed)
             }
             None => {
                 guard.set_may_run_on();
-                self.note(&format!("{life} silent"));
+                self.note(&format!("{incarnation} silent"));
                 (RunProof::Unknown, CallOutcome::Silent)
             }
         };
-        self.record_outcome(life, outcome);
+        self.record_outcome(incarnation, outcome);
         self.uncount_run(proof);
         Err(SendFailure { proof, reply: None })
     }
@@ -99,17 +104,17 @@
         }
     }
 
-    fn record_outcome(&self, life: &TargetLife, outcome: CallOutcome) {
-        self.context.pool.borrow_mut().record_outcome(life, outcome, clock::now());
+    fn record_outcome(&self, incarnation: &TargetIncarnation, outcome: CallOutcome) {
+        self.context.pool.borrow_mut().record_outcome(incarnation, outcome, clock::now());
     }
 
     fn target_request(
         &self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         version: Option<AdapterVersion>,
     ) -> Option<Request<Full<Bytes>>> {
         let terms = OnwardTerms {
-            instance: Arc::clone(&life.id),
+            instance: Arc::clone(&incarnation.id),
             time_left: self.time_left(),
             version,
             urgency: self.priority().min(LAST_URGENCY),
@@ -123,7 +128,7 @@
     /// Waits for the head of the answer; `None` if the wait was given up.
     async fn await_answer(
         &mut self,
-        life: &TargetLife,
+        incarnation: &TargetIncarnation,
         address: std::net::SocketAddr,
         request: Request<Full<Bytes>>,
         guard: &mut CallGuard,
@@ -131,7 +136,7 @@
         let limit = self.answer_limit();
         let overdue = self.route.objective.mul_f64(OVERDUE_SHARE).min(limit);
         let connections = self.context.connections.clone();
-        let sending = connections.send(life, address, request);
+        let sending = connections.send(incarnation, address, request);
         tokio::pin!(sending);
         tokio::select! {
             end = &mut sending => return Some(end),
@@ -156,14 +161,14 @@
         mut guard: CallGuard,
         latency: Duration,
     ) -> Result<OpenAnswer, SendFailure> {
-        let life = guard.target().clone();
+        let incarnation = guard.target().clone();
         let (parts, body) = answer.into_parts();
         let head = calls::decode_answer(parts.status, &parts.headers);
         let proof = judge_answer(self.head.id.as_deref().unwrap_or_default(), &head);
-        if let Some(stated) = limit_word(proof, &head).filter(|_| !head.is_of_other(&life)) {
-            self.context.note_limit(&life, stated, guard.sent());
+        if let Some(stated) = limit_word(proof, &head).filter(|_| !head.is_of_other(&incarnation)) {
+            self.context.note_limit(&incarnation, stated, guard.sent());
         }
-        self.context.note_statement(&life, proof, &head);
+        self.context.note_statement(&incarnation, proof, &head);
         let took = match proof {
             RunProof::Succeeded | RunProof::Failed => Some(latency),
             // A queue that is full takes about as long as the objective.
@@ -171,7 +176,7 @@
             RunProof::Misdirected | RunProof::Unknown => None,
         };
         if let Some(took) = took {
-            self.context.pool.borrow_mut().record_latency(&life, took, clock::now());
+            self.context.pool.borrow_mut().record_latency(&incarnation, took, clock::now());
         }
         if proof == RunProof::Succeeded {
             self.record.phase = CallPhase::Answering;
@@ -183,19 +188,19 @@
             RunProof::NotRun | RunProof::Misdirected => guard.set_end(RunEnd::Settled),
             RunProof::Unknown => {}
         }
-        self.note(&format!("{life} answered {}: {proof:?}", head.status));
+        self.note(&format!("{incarnation} answered {}: {proof:?}", head.status));
         let outcome = match proof {
             RunProof::Misdirected => CallOutcome::Answered,
             _ => CallOutcome::Failed,
         };
-        self.record_outcome(&life, outcome);
+        self.record_outcome(&incarnation, outcome);
         self.uncount_run(proof);
         if proof == RunProof::Misdirected {
-            if head.is_of_other(&life) {
-                self.note(&format!("{life} has ended"));
-                self.context.pool.borrow_mut().note_displaced(&life);
+            if head.is_of_other(&incarnation) {
+                self.note(&format!("{incarnation} has ended"));
+                self.context.pool.borrow_mut().note_displaced(&incarnation);
             }
-            self.context.hurry(&life);
+            self.context.hurry(&incarnation);
         }
         let is_foreign = proof == RunProof::Unknown;
         let whole = if is_foreign { None } else { self.read_failure(body).await };
--- a/crates/daemon/src/router/journal.rs
+++ b/crates/daemon/src/router/journal.rs
@@ -8,7 +8,7 @@
         call::{AdapterId, CallId},
         config::ConfigNumber,
         limits::terms::UsageCost,
-        membership::TargetLife,
+        membership::TargetIncarnation,
     },
     fingerprint::CallFingerprint,
     ids::{AdapterVersion, CustomerName, Timestamp},
@@ -95,7 +95,7 @@
     /// The adapter and the version that it was sent to.
     pub(crate) adapter: Option<(AdapterId, Option<AdapterVersion>)>,
     /// The last target.
-    pub(crate) target: Option<TargetLife>,
+    pub(crate) target: Option<TargetIncarnation>,
     /// Age of the report by which that target was chosen; `None` if no loader was heard.
     pub(crate) report_age: Option<Duration>,
     /// Questions to loaders before it was sent.
@@ -171,7 +171,7 @@
             "phase" => record.phase.name(),
             "customer" => record.customer.as_deref(), "cost" => record.cost, "route" => &record.route, "objective_ms" => record.objective.as_millis() as u64,
             "config" => record.config, "adapter" => adapter,
-            "target" => record.target.as_ref().map(|life| &*life.id),
+            "target" => record.target.as_ref().map(|incarnation| &*incarnation.id),
             "questions" => record.questions, "sends" => record.sends, "runs" => record.runs,
             "report_age_ms" => record.report_age.map(|age| age.as_millis() as u64),
             "load_wait_ms" => record.load_wait.as_millis() as u64,
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -6,7 +6,7 @@
 use plantain_core::{
     direct::{
         directory::{RouterPresence, meeting_targets},
-        membership::{InstanceId, TargetLife},
+        membership::{InstanceId, TargetIncarnation},
         messages::{LoaderMessage, LoaderReport, RouterMessage},
         notices::NoticeSchedule,
     },
@@ -94,7 +94,7 @@
         for (target, report) in self.context.limits.take_reports(&news, now) {
             let host = {
                 let pool = self.context.pool.borrow();
-                let meter = pool.engines().find(|engine| engine.entry.life.id == target);
+                let meter = pool.engines().find(|engine| engine.entry.incarnation.id == target);
                 meter.map(|engine| engine.entry.address.ip())
             };
             if let Some(host) = host {
@@ -105,24 +105,24 @@
 
     fn take_report(&mut self, report: LoaderReport, host: IpAddr) {
         let now = clock::now();
-        let life = report.life.clone();
+        let incarnation = report.incarnation.clone();
         let mut pool = self.context.pool.borrow_mut();
-        let was_silent = pool.target(&life).is_some_and(|target| target.is_silent(now));
+        let was_silent = pool.target(&incarnation).is_some_and(|target| target.is_silent(now));
         let is_news = pool.take_report(host, report, now);
         drop(pool);
         if is_news {
             if was_silent {
                 info!(self.context.logger, "loader regained"; "step" => "link",
-                    "target" => &*life.id, "started" => life.started);
+                    "target" => &*incarnation.id, "started" => incarnation.started);
             }
-            self.context.wake_waiters(&life);
+            self.context.wake_waiters(&incarnation);
         }
     }
 
     fn send_hurried(&mut self) {
         let hurried = std::mem::take(&mut *self.context.hurried.borrow_mut());
-        for life in hurried {
-            self.send_notice(&life);
+        for incarnation in hurried {
+            self.send_notice(&incarnation);
         }
     }
 
@@ -133,16 +133,16 @@
             let pool = self.context.pool.borrow();
             self.schedule.due(&pool, routers, now, rand::random::<f64>)
         };
-        for life in due {
-            self.send_notice(&life);
+        for incarnation in due {
+            self.send_notice(&incarnation);
         }
     }
 
-    fn send_notice(&mut self, life: &TargetLife) {
+    fn send_notice(&mut self, incarnation: &TargetIncarnation) {
         let notice = {
             let mut pool = self.context.pool.borrow_mut();
-            let notice = self.schedule.make(&mut pool, life, clock::now());
-            notice.and_then(|notice| Some((pool.target(life)?.entry.address.ip(), notice)))
+            let notice = self.schedule.make(&mut pool, incarnation, clock::now());
+            notice.and_then(|notice| Some((pool.target(incarnation)?.entry.address.ip(), notice)))
         };
         let Some((host, notice)) = notice else { return };
         self.send(host, &RouterMessage::Notice(notice));
@@ -221,7 +221,7 @@
         let pool = self.context.pool.borrow();
         let hosts = meeting
             .iter()
-            .filter_map(|id| pool.engines().find(|engine| engine.entry.life.id == *id));
+            .filter_map(|id| pool.engines().find(|engine| engine.entry.incarnation.id == *id));
         hosts.map(|engine| engine.entry.address.ip()).collect()
     }
 
@@ -254,7 +254,7 @@
 fn zone_meeting(context: &RouterContext, zone: &ZoneName) -> Vec<InstanceId> {
     let pool = context.pool.borrow();
     let alive = pool.engines().filter(|target| !target.is_leaving() && !target.has_ended());
-    let alive = alive.map(|target| (&target.entry.life.id, &target.entry.zone));
+    let alive = alive.map(|target| (&target.entry.incarnation.id, &target.entry.zone));
     meeting_targets(zone, alive)
 }
 
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -43,7 +43,7 @@
     guard.answered();
     exchange.record.first_byte.get_or_insert(exchange.age());
     let whole = Limited::new(body, constants::ANSWER_LIMIT).collect();
-    let life = guard.target().clone();
+    let incarnation = guard.target().clone();
     let read = timeout(exchange.time_left(), whole).await;
     let (outcome, result) = match read {
         Ok(Ok(whole)) => {
@@ -54,16 +54,16 @@
             (CallOutcome::Answered, PlainRead::Whole(head.map(|()| ReplyBody::new(bytes))))
         }
         Ok(Err(error)) => {
-            exchange.note(&format!("{life} broke off its answer: {error}"));
+            exchange.note(&format!("{incarnation} broke off its answer: {error}"));
             guard.set_end(RunEnd::Broken);
             (CallOutcome::Failed, PlainRead::Broken(GivenUp::Unknown))
         }
         Err(_) => {
-            exchange.note(&format!("{life} did not end its answer in time"));
+            exchange.note(&format!("{incarnation} did not end its answer in time"));
             (CallOutcome::Silent, PlainRead::Broken(GivenUp::TimedOut))
         }
     };
-    exchange.context.pool.borrow_mut().record_outcome(&life, outcome, clock::now());
+    exchange.context.pool.borrow_mut().record_outcome(&incarnation, outcome, clock::now());
     result
 }
 
@@ -97,13 +97,17 @@
     async fn run(mut self, mut answer: OpenAnswer) {
         loop {
             let end = self.pass_events(&mut answer).await;
-            let life = answer.guard.target().clone();
+            let incarnation = answer.guard.target().clone();
             let outcome = match &end {
                 StreamEnd::Complete | StreamEnd::CallerLeft => CallOutcome::Answered,
                 StreamEnd::TimedOut => CallOutcome::Silent,
                 StreamEnd::Broken(_) => CallOutcome::Failed,
             };
-            self.exchange.context.pool.borrow_mut().record_outcome(&life, outcome, clock::now());
+            self.exchange.context.pool.borrow_mut().record_outcome(
+                &incarnation,
+                outcome,
+                clock::now(),
+            );
             match end {
                 StreamEnd::Complete => {
                     let keep = calls::connection_life(answer.head.headers());
@@ -119,7 +123,7 @@
                 }
                 StreamEnd::TimedOut => return self.abort("time limit").await,
                 StreamEnd::Broken(reason) => {
-                    self.exchange.note(&format!("{life} broke off its stream: {reason}"));
+                    self.exchange.note(&format!("{incarnation} broke off its stream: {reason}"));
                     answer.guard.set_end(RunEnd::Broken);
                     drop(answer);
                     match self.resume().await {
--- a/crates/daemon/src/router/statements.rs
+++ b/crates/daemon/src/router/statements.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use metrics::counter;
 use plantain_core::direct::{
-    membership::TargetLife,
+    membership::TargetIncarnation,
     proof::{AnswerHead, RunProof},
     target_statement::{stated_rest, states_leaving},
 };
@@ -13,9 +13,10 @@
 
 impl RouterContext {
     /// Whether a target takes requests, as far as it has said itself.
-    pub(crate) fn is_open(&self, life: &TargetLife) -> bool {
+    pub(crate) fn is_open(&self, incarnation: &TargetIncarnation) -> bool {
         let (pool, now) = (self.pool.borrow(), clock::now());
-        pool.target(life).is_none_or(|target| !target.is_leaving() && !target.is_at_rest(now))
+        pool.target(incarnation)
+            .is_none_or(|target| !target.is_leaving() && !target.is_at_rest(now))
     }
 
     /// Time until a target of a service may take requests again, if all have asked for none.
@@ -24,18 +25,25 @@
     }
 
     /// Takes what an answer says of the target that was asked.
-    pub(crate) fn note_statement(&self, life: &TargetLife, proof: RunProof, head: &AnswerHead) {
+    pub(crate) fn note_statement(
+        &self,
+        incarnation: &TargetIncarnation,
+        proof: RunProof,
+        head: &AnswerHead,
+    ) {
         let now = clock::now();
-        if states_leaving(head, life) && self.pool.borrow_mut().record_leaving(life, now) {
+        if states_leaving(head, incarnation)
+            && self.pool.borrow_mut().record_leaving(incarnation, now)
+        {
             counter!("plantain_target_statements_total", "kind" => "leaving").increment(1);
             info!(self.logger, "target says that it leaves"; "step" => "target_statement",
-                "target" => &*life.id, "started" => life.started);
+                "target" => &*incarnation.id, "started" => incarnation.started);
         }
         let Some(rest) = stated_rest(proof, head) else { return };
-        if self.pool.borrow_mut().record_rest(life, rest, now) {
+        if self.pool.borrow_mut().record_rest(incarnation, rest, now) {
             counter!("plantain_target_statements_total", "kind" => "rest").increment(1);
             info!(self.logger, "target wants no requests"; "step" => "target_statement",
-                "target" => &*life.id, "started" => life.started,
+                "target" => &*incarnation.id, "started" => incarnation.started,
                 "for_ms" => u64::try_from(rest.as_millis()).unwrap_or(u64::MAX));
         }
     }
--- a/crates/daemon/src/router/turns.rs
+++ b/crates/daemon/src/router/turns.rs
@@ -6,7 +6,7 @@
 use plantain_core::{
     direct::{
         limits::account::SpendVerdict,
-        membership::TargetLife,
+        membership::TargetIncarnation,
         target_limit::{LimitNews, RequestRate, StatedLimit},
     },
     ids::Timestamp,
@@ -25,18 +25,23 @@
 
 impl RouterContext {
     /// Takes what an answer states of its target's limit, to a call that was sent at `sent`.
-    pub(crate) fn note_limit(&self, life: &TargetLife, stated: StatedLimit, sent: Timestamp) {
+    pub(crate) fn note_limit(
+        &self,
+        incarnation: &TargetIncarnation,
+        stated: StatedLimit,
+        sent: Timestamp,
+    ) {
         if stated != StatedLimit::Unlimited {
             counter!("plantain_limited_answers_total").increment(1);
         }
         if stated == StatedLimit::Unreadable {
             warn!(self.logger, "limit of target not understood"; "step" => "target_limit",
-                "target" => &*life.id, "started" => life.started);
+                "target" => &*incarnation.id, "started" => incarnation.started);
         }
         let now = clock::now();
-        let is_changed = self.pool.borrow_mut().record_limit(life, stated, sent, now);
+        let is_changed = self.pool.borrow_mut().record_limit(incarnation, stated, sent, now);
         if is_changed {
-            self.log_limit(life, "answer", now.saturating_sub(sent));
+            self.log_limit(incarnation, "answer", now.saturating_sub(sent));
             links::follow_meters(self, now);
             self.limits.tell_news();
         }
@@ -48,28 +53,28 @@
         if changed.is_empty() {
             return;
         }
-        for life in &changed {
-            let told = news.iter().find(|news| news.tag == life.life_hash());
+        for incarnation in &changed {
+            let told = news.iter().find(|news| news.tag == incarnation.incarnation_hash());
             let age = told.map_or(0, |news| news.age_ms);
-            self.log_limit(life, "loader", Duration::from_millis(age.into()));
+            self.log_limit(incarnation, "loader", Duration::from_millis(age.into()));
         }
         links::follow_meters(self, now);
     }
 
-    fn log_limit(&self, life: &TargetLife, source: &str, age: Duration) {
+    fn log_limit(&self, incarnation: &TargetIncarnation, source: &str, age: Duration) {
         info!(self.logger, "limit of target changed"; "step" => "target_limit",
-            "target" => &*life.id, "started" => life.started, "rate" => self.limit_rate(life),
+            "target" => &*incarnation.id, "started" => incarnation.started, "rate" => self.limit_rate(incarnation),
             "source" => source, "age_ms" => age.as_millis() as u64);
     }
 
-    fn limit_rate(&self, life: &TargetLife) -> Option<RequestRate> {
-        self.pool.borrow().target(life)?.limit.rate
+    fn limit_rate(&self, incarnation: &TargetIncarnation) -> Option<RequestRate> {
+        self.pool.borrow().target(incarnation)?.limit.rate
     }
 
     /// Takes a unit of a target's limit for one request, if the target has one.
-    pub(crate) async fn take_turn(&self, life: &TargetLife) -> TargetTurn {
-        let Some(rate) = self.limit_rate(life) else { return TargetTurn::Granted(None) };
-        let tag = life.life_hash();
+    pub(crate) async fn take_turn(&self, incarnation: &TargetIncarnation) -> TargetTurn {
+        let Some(rate) = self.limit_rate(incarnation) else { return TargetTurn::Granted(None) };
+        let tag = incarnation.incarnation_hash();
         let turn = timeout(constants::TURN_WAIT, self.limits.take_turn(tag, rate)).await;
         let room_in = match turn {
             Ok((SpendVerdict::Granted, charge)) => {
@@ -79,7 +84,7 @@
             Ok((SpendVerdict::Refused { room_in }, _)) => room_in,
             Err(_) => None,
         };
-        if self.limit_rate(life).is_none() {
+        if self.limit_rate(incarnation).is_none() {
             // The meter's answer said that the limit has ended.
             return TargetTurn::Granted(None);
         }
@@ -87,8 +92,8 @@
         let now = clock::now();
         let pause = self.limits.refusal_pause(tag, room_in.unwrap_or_default());
         let until = now + pause.mul_f64(0.5 + 0.5 * rand::random::<f64>());
-        self.pool.borrow_mut().note_full(life, until);
-        let mut grounds = format!("{life} takes {rate} requests a second");
+        self.pool.borrow_mut().note_full(incarnation, until);
+        let mut grounds = format!("{incarnation} takes {rate} requests a second");
         match self.limits.view_tag(tag, now) {
             Some(view) if view.age.is_some() => {
                 let age = view.age.unwrap_or_default().as_millis();
