--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -10,7 +10,7 @@
 use super::{
     membership::InstanceId,
     sharing::order::{RelayOrder, relay_rank},
-    target_limit::LimitNews,
+    target_limit::LimitUpdate,
 };
 use crate::{
     crashes::REPORT_LIFE,
@@ -72,7 +72,8 @@
     /// Whether it is here that the routers of its zone meet.
     pub meets_here: bool,
     /// What it knows of targets' limits.
-    pub news: Vec<LimitNews>,
+    #[serde(rename = "news")]
+    pub limit_updates: Vec<LimitUpdate>,
 }
 
 /// What a router is told of the others.
@@ -85,7 +86,8 @@
     /// Number of routers of the zones whose routers meet at this loader.
     pub counts: Vec<(ZoneName, u16)>,
     /// Limits of targets that the router knows otherwise.
-    pub news: Vec<LimitNews>,
+    #[serde(rename = "news")]
+    pub limit_updates: Vec<LimitUpdate>,
 }
 
 /// The loaders at which the routers of a zone meet, chosen alike by all routers: loaders of the zone itself
@@ -157,7 +159,7 @@
             near: first(near, relays),
             far: first(far, FAR_LIMIT),
             counts: self.counts(now).into_iter().collect(),
-            news: Vec::new(),
+            limit_updates: Vec::new(),
         }
     }
 
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -15,7 +15,7 @@
     terms::{FleetSize, LimitRule, LimitShares, RETURN_LIMIT, UsageCost, UsageLimit},
 };
 use crate::{
-    direct::{config::ConfigNumber, membership::InstanceId, target_limit::LimitNews},
+    direct::{config::ConfigNumber, membership::InstanceId, target_limit::LimitUpdate},
     ids::{BootId, Timestamp},
 };
 use state::{LimitAccount, MeterWord};
@@ -284,10 +284,10 @@
 
     /// Reports that are due, each with the target beside which its meter stands.
     ///
-    /// Each tells `news` of targets' limits.
+    /// Each carries `limit_updates` of targets' limits.
     pub fn take_reports(
         &mut self,
-        news: &[LimitNews],
+        limit_updates: &[LimitUpdate],
         now: Timestamp,
     ) -> Vec<(InstanceId, UsageReport)> {
         self.look(now);
@@ -321,7 +321,7 @@
                 routers: u16::try_from(self.fleet.known).unwrap_or(u16::MAX),
                 config: self.config,
                 wishes,
-                news: news.to_vec(),
+                limit_updates: limit_updates.to_vec(),
             };
             reports.push((target, report));
         }
@@ -368,8 +368,8 @@
         wishes
     }
 
-    /// Has the meters told at once what this router knows of targets' limits.
-    pub fn tell_news(&mut self) {
+    /// Has reports with what this router knows of targets' limits sent to the meters at once.
+    pub fn report_limits_now(&mut self) {
         self.is_untold = true;
     }
 
--- a/crates/core/src/direct/limits/messages.rs
+++ b/crates/core/src/direct/limits/messages.rs
@@ -2,7 +2,7 @@
 
 use super::LimitTag;
 use crate::{
-    direct::{config::ConfigNumber, target_limit::LimitNews},
+    direct::{config::ConfigNumber, target_limit::LimitUpdate},
     ids::BootId,
 };
 use serde::{Deserialize, Serialize};
@@ -40,7 +40,8 @@
     /// Limits that the router uses at this meter now.
     pub wishes: Vec<UsageWish>,
     /// What the router knows of targets' limits.
-    pub news: Vec<LimitNews>,
+    #[serde(rename = "news")]
+    pub limit_updates: Vec<LimitUpdate>,
 }
 
 /// What a router wants of one limit.
@@ -76,7 +77,8 @@
     /// For each wish of the report.
     pub grants: Vec<LimitGrant>,
     /// Limits of targets that the router knows otherwise.
-    pub news: Vec<LimitNews>,
+    #[serde(rename = "news")]
+    pub limit_updates: Vec<LimitUpdate>,
 }
 
 /// What a router may use of one limit.
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -17,7 +17,7 @@
     meters::{first_meter, report_ttl},
 };
 use crate::{
-    direct::{config::ConfigNumber, target_limit::LimitBook},
+    direct::{config::ConfigNumber, target_limit::LimitTable},
     ids::{BootId, Timestamp},
 };
 use std::{collections::HashMap, time::Duration};
@@ -90,7 +90,7 @@
     pub fn take(
         &mut self,
         report: &UsageReport,
-        book: &LimitBook,
+        book: &LimitTable,
         now: Timestamp,
     ) -> Option<UsageGrant> {
         if !self.note_router(report, now) {
@@ -110,7 +110,7 @@
             sequence: report.sequence,
             enrolment,
             grants: grants.collect(),
-            news: book.answer(&report.news, now),
+            limit_updates: book.answer(&report.limit_updates, now),
         })
     }
 
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -21,11 +21,11 @@
 /// limit ends.
 const PROBE_RATE: RequestRate = 0.1;
 /// Time for which the end of a limit is told onward.
-const END_LIFE: Duration = Duration::from_mins(1);
+const END_TTL: Duration = Duration::from_mins(1);
 /// Time after which a loader forgets a limit that no router tells it any more.
-const NEWS_LIFE: Duration = Duration::from_mins(1);
+const UPDATE_TTL: Duration = Duration::from_mins(1);
 /// Limits in one message, the newest ones: some 1.5 kB.
-const NEWS_LIMIT: usize = 64;
+const UPDATE_LIMIT: usize = 64;
 /// Limits that a loader remembers.
 const BOOK_LIMIT: usize = 4_096;
 
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Takes what somebody else knows if it is newer; returns whether the limit has changed.
+    /// Applies what another process knows if it is newer; returns whether the limit has changed.
     ///
     /// What is known already is not taken for newer when it comes back: each hop adds a little to its time, and an
     /// end that a target has stated meanwhile would seem to be older.
-    pub fn take_news(&mut self, news: &LimitNews, now: Timestamp) -> bool {
-        news.rate != self.rate && self.merge(news.known(now))
+    pub fn apply_update(&mut self, update: &LimitUpdate, now: Timestamp) -> bool {
+        update.rate != self.rate && self.merge(update.known(now))
     }
 
     fn merge(&mut self, other: Self) -> bool {
@@ -99,25 +99,25 @@
         std::mem::replace(&mut self.rate, other.rate) != other.rate
     }
 
-    /// Whether others are to be told: there is a limit, or one has ended lately.
-    pub fn is_news(&self, now: Timestamp) -> bool {
-        let is_recent = |ended: Timestamp| now.saturating_sub(ended) < END_LIFE;
+    /// Whether others are sent an update: there is a limit, or one has ended lately.
+    pub fn is_reported(&self, now: Timestamp) -> bool {
+        let is_recent = |ended: Timestamp| now.saturating_sub(ended) < END_TTL;
         self.rate.is_some() || self.ended.is_some_and(is_recent)
     }
 }
 
-/// What one process tells another of a target's limit.
+/// What one process knows of a target's limit, as it sends it to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The target's incarnation.
     pub tag: LimitTag,
     /// The rate; `None` if the limit has ended.
     pub rate: Option<RequestRate>,
-    /// Age of that word in ms.
+    /// Age of that knowledge in ms.
     pub age_ms: u32,
 }
 
-impl LimitNews {
+impl LimitUpdate {
     fn new(tag: LimitTag, known: &KnownLimit, now: Timestamp) -> Self {
         let age = now.saturating_sub(known.as_of).as_millis();
         Self { tag, rate: known.rate, age_ms: u32::try_from(age).unwrap_or(u32::MAX) }
@@ -129,57 +129,57 @@
     }
 }
 
-/// What is to be told of these limits, the newest first.
-pub fn limit_news<'a>(
+/// Updates to send of these limits, the newest first.
+pub fn limit_updates<'a>(
     known: impl Iterator<Item = (LimitTag, &'a KnownLimit)>,
     now: Timestamp,
-) -> Vec<LimitNews> {
-    let mut known: Vec<_> = known.filter(|(_, limit)| limit.is_news(now)).collect();
+) -> Vec<LimitUpdate> {
+    let mut known: Vec<_> = known.filter(|(_, limit)| limit.is_reported(now)).collect();
     known.sort_unstable_by_key(|(tag, limit)| (Reverse(limit.as_of), *tag));
-    known.truncate(NEWS_LIMIT);
-    known.into_iter().map(|(tag, limit)| LimitNews::new(tag, limit, now)).collect()
+    known.truncate(UPDATE_LIMIT);
+    known.into_iter().map(|(tag, limit)| LimitUpdate::new(tag, limit, now)).collect()
 }
 
 #[derive(Debug)]
-struct ToldLimit {
+struct ReceivedLimit {
     known: KnownLimit,
     told: Timestamp,
 }
 
-/// What routers have told a loader of targets' limits.
+/// Limits of targets that a loader has received from routers.
 #[derive(Debug, Default)]
-pub struct LimitBook {
-    told: HashMap<LimitTag, ToldLimit>,
+pub struct LimitTable {
+    told: HashMap<LimitTag, ReceivedLimit>,
 }
 
-impl LimitBook {
-    /// Takes what a router tells.
-    pub fn take(&mut self, news: &[LimitNews], now: Timestamp) {
-        for news in news {
-            if let Some(told) = self.told.get_mut(&news.tag) {
-                told.known.take_news(news, now);
+impl LimitTable {
+    /// Applies updates of a router.
+    pub fn take(&mut self, updates: &[LimitUpdate], now: Timestamp) {
+        for update in updates {
+            if let Some(told) = self.told.get_mut(&update.tag) {
+                told.known.apply_update(update, now);
                 told.told = now;
                 continue;
             }
             if self.told.len() >= BOOK_LIMIT {
-                self.told.retain(|_, told| now.saturating_sub(told.told) < NEWS_LIFE);
+                self.told.retain(|_, told| now.saturating_sub(told.told) < UPDATE_TTL);
             }
             if self.told.len() < BOOK_LIMIT {
-                let mut known = news.known(now);
+                let mut known = update.known(now);
                 known.ended = known.rate.is_none().then_some(known.as_of);
-                self.told.insert(news.tag, ToldLimit { known, told: now });
+                self.told.insert(update.tag, ReceivedLimit { known, told: now });
             }
         }
     }
 
-    /// What to tell a router that has told `theirs`: all that it does not know so.
-    pub fn answer(&self, theirs: &[LimitNews], now: Timestamp) -> Vec<LimitNews> {
+    /// Updates for a router that has sent `theirs`: all that it does not know so.
+    pub fn answer(&self, theirs: &[LimitUpdate], now: Timestamp) -> Vec<LimitUpdate> {
         let is_known = |tag: LimitTag, limit: &KnownLimit| {
-            theirs.iter().any(|news| news.tag == tag && news.rate == limit.rate)
+            theirs.iter().any(|update| update.tag == tag && update.rate == limit.rate)
         };
-        let fresh = self.told.iter().filter(|(_, told)| now.saturating_sub(told.told) < NEWS_LIFE);
+        let fresh = self.told.iter().filter(|(_, told)| now.saturating_sub(told.told) < UPDATE_TTL);
         let unknown = fresh.filter(|(tag, told)| !is_known(**tag, &told.known));
-        limit_news(unknown.map(|(tag, told)| (*tag, &told.known)), now)
+        limit_updates(unknown.map(|(tag, told)| (*tag, &told.known)), now)
     }
 
     /// Whether a router that keeps a limit at `rate` has the newest word of it; `None` where no target's limit is
--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -4,7 +4,7 @@
     super::{
         limits::LimitTag,
         membership::TargetIncarnation,
-        target_limit::{LimitNews, StatedLimit, limit_news},
+        target_limit::{LimitUpdate, StatedLimit, limit_updates},
     },
     TargetPool,
 };
@@ -24,46 +24,46 @@
         self.target_mut(incarnation).is_some_and(|target| target.limit.record(stated, sent, now))
     }
 
-    /// Takes what others know of targets' limits; returns the targets whose limits have changed.
-    pub fn take_limit_news(
+    /// Applies what others know of targets' limits; returns the targets whose limits have changed.
+    pub fn apply_limit_updates(
         &mut self,
-        news: &[LimitNews],
+        updates: &[LimitUpdate],
         now: Timestamp,
     ) -> Vec<TargetIncarnation> {
-        if news.is_empty() {
+        if updates.is_empty() {
             return Vec::new();
         }
-        let by_tag: HashMap<LimitTag, &LimitNews> =
-            news.iter().map(|news| (news.tag, news)).collect();
+        let by_tag: HashMap<LimitTag, &LimitUpdate> =
+            updates.iter().map(|update| (update.tag, update)).collect();
         let mut changed = Vec::new();
         for target in self.targets.values_mut() {
-            let Some(news) = by_tag.get(&target.entry.incarnation.incarnation_hash()) else {
+            let Some(update) = by_tag.get(&target.entry.incarnation.incarnation_hash()) else {
                 continue;
             };
-            if target.limit.take_news(news, now) {
+            if target.limit.apply_update(update, now) {
                 changed.push(target.entry.incarnation.clone());
             }
         }
         for (tag, departed) in &mut self.departed {
-            if let Some(news) = by_tag.get(tag) {
-                departed.limit.take_news(news, now);
+            if let Some(update) = by_tag.get(tag) {
+                departed.limit.apply_update(update, now);
             }
         }
         changed
     }
 
-    /// What to tell others of targets' limits.
-    pub fn limit_news(&self, now: Timestamp) -> Vec<LimitNews> {
-        let limited = self.targets.values().filter(|target| target.limit.is_news(now));
+    /// Updates of targets' limits to send to others.
+    pub fn limit_updates(&self, now: Timestamp) -> Vec<LimitUpdate> {
+        let limited = self.targets.values().filter(|target| target.limit.is_reported(now));
         let listed =
             limited.map(|target| (target.entry.incarnation.incarnation_hash(), &target.limit));
         let departed = self.departed.iter().map(|(tag, departed)| (*tag, &departed.limit));
-        limit_news(listed.chain(departed), now)
+        limit_updates(listed.chain(departed), now)
     }
 
-    /// Whether limits of targets are to be kept, or their ends to be told.
-    pub fn has_limit_news(&self, now: Timestamp) -> bool {
-        self.targets.values().any(|target| target.limit.is_news(now))
+    /// Whether limits of targets are to be kept, or their ends to be sent.
+    pub fn has_limit_updates(&self, now: Timestamp) -> bool {
+        self.targets.values().any(|target| target.limit.is_reported(now))
     }
 
     /// A target's limit was found to have no room until then.
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -16,7 +16,12 @@
 }
 
 fn presence(zone: &str, index: u16, meets_here: bool) -> RouterPresence {
-    RouterPresence { zone: zone.into(), address: router(index), meets_here, news: Vec::new() }
+    RouterPresence {
+        zone: zone.into(),
+        address: router(index),
+        meets_here,
+        limit_updates: Vec::new(),
+    }
 }
 
 struct MeetingCase {
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -351,7 +351,7 @@
         let own = own.into_iter().map(|loader| (loader, true));
         for (loader, meets_here) in own.chain(asked.into_iter().map(|loader| (loader, false))) {
             let (zone, address) = (zone.clone(), router_address(index));
-            let presence = RouterPresence { zone, address, meets_here, news: Vec::new() };
+            let presence = RouterPresence { zone, address, meets_here, limit_updates: Vec::new() };
             self.send_to_loader(index, loader, RouterMessage::Presence(presence));
         }
     }
--- a/crates/core/tests/core/direct/selection/limits.rs
+++ b/crates/core/tests/core/direct/selection/limits.rs
@@ -5,7 +5,7 @@
 use plantain_core::direct::{
     membership::TargetIncarnation,
     selection::{TargetChoice, preferred_targets},
-    target_limit::{LimitNews, StatedLimit},
+    target_limit::{LimitUpdate, StatedLimit},
     targets::TargetPool,
 };
 
@@ -64,7 +64,7 @@
         pool.apply_changes(&[change], ms(20));
     }
     assert_eq!(sent_to(&choose(&pool, DESK, None, 30)), Some("d1"));
-    assert!(!pool.has_limit_news(ms(30)));
+    assert!(!pool.has_limit_updates(ms(30)));
 }
 
 /// Guards against a limit that is forgotten while its target is missing from the list: an entry may lapse though its
@@ -75,13 +75,13 @@
     let entries: Vec<_> = pool.entries().cloned().collect();
     state_limit(&mut pool, "d1", 3.9);
     pool.replace_list(entries[..3].to_vec(), ms(10));
-    let told = pool.limit_news(ms(20));
+    let told = pool.limit_updates(ms(20));
     assert_eq!(told.len(), 1, "others are told meanwhile");
     pool.replace_list(entries.clone(), ms(30));
     assert!(pool.target(&"d1".into()).expect("a target").is_limited());
     pool.replace_list(entries[..3].to_vec(), ms(40));
-    let end = LimitNews { rate: None, age_ms: 0, ..told[0].clone() };
-    pool.take_limit_news(&[end], ms(50));
+    let end = LimitUpdate { rate: None, age_ms: 0, ..told[0].clone() };
+    pool.apply_limit_updates(&[end], ms(50));
     pool.replace_list(entries, ms(60));
     assert!(!pool.target(&"d1".into()).expect("a target").is_limited(), "it ended meanwhile");
 }
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -208,8 +208,8 @@
     fn step(&mut self, index: usize) {
         if self.now % PRESENCE_PAUSE == index as u64 * STEP % PRESENCE_PAUSE {
             let (zone, address) = (zone_name(), address(index));
-            let news = Vec::new();
-            let presence = RouterPresence { zone, address, meets_here: true, news };
+            let limit_updates = Vec::new();
+            let presence = RouterPresence { zone, address, meets_here: true, limit_updates };
             let directory = self.meeting.take(&presence, ms(self.now));
             let router = &mut self.routers[index];
             router.register.note(&directory, ms(self.now));
@@ -310,8 +310,8 @@
 
     fn told_life_is_over(&self, index: usize) -> bool {
         let router = &self.routers[index];
-        let incarnation = router.machine.source().told_life(ms(DRAIN));
-        ms(self.now - router.heard_at) >= incarnation
+        let max_staleness = router.machine.source().told_life(ms(DRAIN));
+        ms(self.now - router.heard_at) >= max_staleness
     }
 
     fn tell(&mut self, teller: usize, asker: usize) {
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -10,7 +10,7 @@
         meter::UsageMeter,
         terms::{FleetSize, LimitShares},
     },
-    target_limit::{KnownLimit, LimitBook, LimitNews, StatedLimit, target_rule},
+    target_limit::{KnownLimit, LimitTable, LimitUpdate, StatedLimit, target_rule},
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::time::Duration;
@@ -186,41 +186,41 @@
     check_plays(property);
 }
 
-fn news(rate: Option<f64>, age_ms: u32) -> LimitNews {
-    LimitNews { tag: 7, rate, age_ms }
+fn update(rate: Option<f64>, age_ms: u32) -> LimitUpdate {
+    LimitUpdate { tag: 7, rate, age_ms }
 }
 
 /// Guards against limits that come back to life, or end, by words that were lost, doubled, late or sent in a circle.
 #[test]
 fn the_newest_word_of_a_limit_wins_wherever_it_comes_from() {
-    let mut book = LimitBook::default();
-    book.take(&[news(Some(3.9), 100)], ms(10_000));
-    assert_eq!(book.answer(&[], ms(10_500)), [news(Some(3.9), 600)]);
-    assert_eq!(book.answer(&[news(Some(3.9), 900)], ms(10_500)), [], "it is known there");
-    book.take(&[news(None, 500)], ms(12_000));
-    book.take(&[news(Some(3.9), 2_100)], ms(12_001));
-    assert_eq!(book.answer(&[news(Some(3.9), 2_200)], ms(12_100)), [news(None, 600)]);
-    book.take(&[news(Some(0.2), 0)], ms(13_000));
-    book.take(&[news(None, 1_500)], ms(13_001));
-    assert_eq!(book.answer(&[], ms(13_000)), [news(Some(0.2), 0)]);
+    let mut book = LimitTable::default();
+    book.take(&[update(Some(3.9), 100)], ms(10_000));
+    assert_eq!(book.answer(&[], ms(10_500)), [update(Some(3.9), 600)]);
+    assert_eq!(book.answer(&[update(Some(3.9), 900)], ms(10_500)), [], "it is known there");
+    book.take(&[update(None, 500)], ms(12_000));
+    book.take(&[update(Some(3.9), 2_100)], ms(12_001));
+    assert_eq!(book.answer(&[update(Some(3.9), 2_200)], ms(12_100)), [update(None, 600)]);
+    book.take(&[update(Some(0.2), 0)], ms(13_000));
+    book.take(&[update(None, 1_500)], ms(13_001));
+    assert_eq!(book.answer(&[], ms(13_000)), [update(Some(0.2), 0)]);
     assert_eq!(book.is_newest(7, 0.2), Some(true));
     assert_eq!(book.is_newest(7, 3.9), Some(false));
     assert_eq!(book.is_newest(8, 3.9), None);
     // What is known already does not grow younger on its way.
     let mut known = KnownLimit::default();
-    assert!(known.take_news(&news(Some(0.2), 1_000), ms(14_000)));
+    assert!(known.apply_update(&update(Some(0.2), 1_000), ms(14_000)));
     for step in 1..100 {
-        assert!(!known.take_news(&news(Some(0.2), 0), ms(14_000 + 100 * step)));
+        assert!(!known.apply_update(&update(Some(0.2), 0), ms(14_000 + 100 * step)));
     }
     assert!(known.record(StatedLimit::Unlimited, ms(13_500), ms(24_000)));
-    assert!(known.is_news(ms(24_000)), "the end is told onward");
-    assert!(!known.is_news(ms(90_000)));
+    assert!(known.is_reported(ms(24_000)), "the end is told onward");
+    assert!(!known.is_reported(ms(90_000)));
 }
 
 /// Guards against a lower rate at the meter that the routers of an older, higher one raise again.
 #[test]
 fn a_meter_goes_by_the_newest_rate() {
-    let (mut meter, mut book) = (UsageMeter::new(1), LimitBook::default());
+    let (mut meter, mut book) = (UsageMeter::new(1), LimitTable::default());
     let mut report = UsageReport {
         boot: 5,
         sequence: 1,
@@ -230,7 +230,7 @@
         routers: 1,
         config: 1,
         wishes: Vec::new(),
-        news: Vec::new(),
+        limit_updates: Vec::new(),
     };
     let enrolment = meter.take(&report, &book, ms(1_000)).expect("an answer").enrolment;
     report.enrolment = enrolment;
@@ -247,12 +247,12 @@
             needed: wanted as u32,
             first: 1,
         }];
-        report.news = vec![LimitNews {
+        report.limit_updates = vec![LimitUpdate {
             tag: 7,
             rate: Some(rate),
             age_ms: if rate < 1.0 { 0 } else { 9_000 },
         }];
-        book.take(&report.news, at);
+        book.take(&report.limit_updates, at);
         let grant = meter.take(&report, &book, at).expect("an answer");
         grant.grants[0].granted
     };
--- a/crates/daemon/src/loader.rs
+++ b/crates/daemon/src/loader.rs
@@ -18,7 +18,7 @@
         membership::InstanceId,
         messages::{LoaderMessage, RouterMessage},
         orders::{EngineOrder, EngineReport, OrderAnswer, OrderVerb},
-        target_limit::LimitBook,
+        target_limit::LimitTable,
     },
     ids::Timestamp,
 };
@@ -65,7 +65,7 @@
     machine: LoaderMachine,
     meeting: MeetingPoint,
     meter: UsageMeter,
-    limits: LimitBook,
+    limits: LimitTable,
     engine: Rc<EngineClient>,
     settings: watch::Receiver<Arc<LoaderFile>>,
     socket: UdpSocket,
@@ -88,7 +88,7 @@
             machine: LoaderMachine::new(rand::random()),
             meeting: MeetingPoint::default(),
             meter: UsageMeter::new(rand::random()),
-            limits: LimitBook::default(),
+            limits: LimitTable::default(),
             engine: Rc::new(EngineClient::new()),
             settings,
             socket,
@@ -167,13 +167,13 @@
         match postcard::from_bytes::<RouterMessage>(datagram) {
             Ok(RouterMessage::Notice(notice)) => self.machine.take_notice(router, notice, now),
             Ok(RouterMessage::Presence(presence)) => {
-                self.limits.take(&presence.news, now);
+                self.limits.take(&presence.limit_updates, now);
                 let mut directory = self.meeting.take(&presence, now);
-                directory.news = self.limits.answer(&presence.news, now);
+                directory.limit_updates = self.limits.answer(&presence.limit_updates, now);
                 self.send(&LoaderMessage::Directory(directory), &[router]);
             }
             Ok(RouterMessage::Usage(report)) => {
-                self.limits.take(&report.news, now);
+                self.limits.take(&report.limit_updates, now);
                 if let Some(grant) = self.meter.take(&report, &self.limits, now) {
                     self.send(&LoaderMessage::Grant(grant), &[router]);
                 }
--- a/crates/daemon/src/router/limits.rs
+++ b/crates/daemon/src/router/limits.rs
@@ -13,7 +13,7 @@
             terms::{FleetSize, LimitRule, LimitTerms, UsageCost, UsageLimit},
         },
         membership::InstanceId,
-        target_limit::{LimitNews, RequestRate, target_rule},
+        target_limit::{LimitUpdate, RequestRate, target_rule},
     },
     ids::{BootId, Timestamp},
 };
@@ -127,8 +127,8 @@
     }
 
     /// Has the meters told at once what is known of targets' limits.
-    pub(crate) fn tell_news(&self) {
-        self.book.borrow_mut().tell_news();
+    pub(crate) fn report_limits_now(&self) {
+        self.book.borrow_mut().report_limits_now();
         self.wake.notify_one();
     }
 
@@ -157,13 +157,13 @@
 
     /// Reports that are due, each with the target beside which its meter stands.
     ///
-    /// Each tells `news` of targets' limits.
+    /// Each tells `limit_updates` of targets' limits.
     pub(crate) fn take_reports(
         &self,
-        news: &[LimitNews],
+        limit_updates: &[LimitUpdate],
         now: Timestamp,
     ) -> Vec<(InstanceId, UsageReport)> {
-        self.book.borrow_mut().take_reports(news, now)
+        self.book.borrow_mut().take_reports(limit_updates, now)
     }
 
     /// Shows on the metrics page what is known of customers' use.
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -75,11 +75,11 @@
             Ok(LoaderMessage::Directory(directory)) => {
                 let now = clock::now();
                 self.context.note_routers(&directory, now);
-                self.context.take_limit_news(&directory.news, now);
+                self.context.apply_limit_updates(&directory.limit_updates, now);
             }
             Ok(LoaderMessage::Grant(grant)) => {
                 let now = clock::now();
-                self.context.take_limit_news(&grant.news, now);
+                self.context.apply_limit_updates(&grant.limit_updates, now);
                 self.context.limits.take_grant(&grant, now);
                 self.send_usage();
             }
@@ -90,8 +90,8 @@
     /// Tells the meters that are due what is used and wanted of limits.
     fn send_usage(&self) {
         let now = clock::now();
-        let news = self.context.pool.borrow().limit_news(now);
-        for (target, report) in self.context.limits.take_reports(&news, now) {
+        let limit_updates = self.context.pool.borrow().limit_updates(now);
+        for (target, report) in self.context.limits.take_reports(&limit_updates, now) {
             let host = {
                 let pool = self.context.pool.borrow();
                 let meter = pool.engines().find(|engine| engine.entry.incarnation.id == target);
@@ -175,11 +175,11 @@
                 zone,
                 address,
                 meets_here: true,
-                news: Vec::new(),
+                limit_updates: Vec::new(),
             });
             return;
         }
-        let news = self.context.pool.borrow().limit_news(clock::now());
+        let limit_updates = self.context.pool.borrow().limit_updates(clock::now());
         let turn = self.presences;
         self.presences += 1;
         if turn > 0 {
@@ -187,7 +187,12 @@
         }
         for host in own {
             let zone = Arc::clone(&zone);
-            let presence = RouterPresence { zone, address, meets_here: true, news: news.clone() };
+            let presence = RouterPresence {
+                zone,
+                address,
+                meets_here: true,
+                limit_updates: limit_updates.clone(),
+            };
             self.send(host, &RouterMessage::Presence(presence));
         }
         let others = self.other_zones(&zone);
@@ -195,7 +200,12 @@
             let hosts = self.meeting_hosts(other);
             let Some(host) = hosts.choose(&mut rand::rng()) else { continue };
             let zone = Arc::clone(&zone);
-            let presence = RouterPresence { zone, address, meets_here: false, news: news.clone() };
+            let presence = RouterPresence {
+                zone,
+                address,
+                meets_here: false,
+                limit_updates: limit_updates.clone(),
+            };
             self.send(*host, &RouterMessage::Presence(presence));
         }
     }
@@ -263,7 +273,7 @@
 pub(crate) fn follow_meters(context: &RouterContext, now: Timestamp) {
     let config = Arc::clone(context.pool.borrow().config());
     let is_limited = config.customers.rules().iter().any(|customer| customer.limit.is_some())
-        || context.pool.borrow().has_limit_news(now);
+        || context.pool.borrow().has_limit_updates(now);
     context.limits.set_limits(&config);
     let mut meters = Vec::new();
     if is_limited {
--- a/crates/daemon/src/router/turns.rs
+++ b/crates/daemon/src/router/turns.rs
@@ -7,7 +7,7 @@
     direct::{
         limits::account::SpendVerdict,
         membership::TargetIncarnation,
-        target_limit::{LimitNews, RequestRate, StatedLimit},
+        target_limit::{LimitUpdate, RequestRate, StatedLimit},
     },
     ids::Timestamp,
 };
@@ -43,19 +43,19 @@
         if is_changed {
             self.log_limit(incarnation, "answer", now.saturating_sub(sent));
             links::follow_meters(self, now);
-            self.limits.tell_news();
+            self.limits.report_limits_now();
         }
     }
 
     /// Takes what a loader tells of targets' limits.
-    pub(crate) fn take_limit_news(&self, news: &[LimitNews], now: Timestamp) {
-        let changed = self.pool.borrow_mut().take_limit_news(news, now);
+    pub(crate) fn apply_limit_updates(&self, updates: &[LimitUpdate], now: Timestamp) {
+        let changed = self.pool.borrow_mut().apply_limit_updates(updates, now);
         if changed.is_empty() {
             return;
         }
         for incarnation in &changed {
-            let told = news.iter().find(|news| news.tag == incarnation.incarnation_hash());
-            let age = told.map_or(0, |news| news.age_ms);
+            let told = updates.iter().find(|update| update.tag == incarnation.incarnation_hash());
+            let age = told.map_or(0, |update| update.age_ms);
             self.log_limit(incarnation, "loader", Duration::from_millis(age.into()));
         }
         links::follow_meters(self, now);
