--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -109,8 +109,8 @@
         add_missing(&mut self.survivals, &earlier.survivals);
     }
 
-    /// Whether this one tells more than another of the same start.
-    pub fn is_news_after(&self, known: &Self) -> bool {
+    /// Whether this one is newer than another of the same start.
+    pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.sequence, self.size()) > (known.sequence, known.size())
     }
 
@@ -148,7 +148,7 @@
     /// Takes a report; returns whether it is news.
     pub fn take(&mut self, report: &Arc<CrashReport>, now: Timestamp) -> bool {
         let known = self.told.get(&report.boot);
-        if known.is_some_and(|known| !report.is_news_after(&known.report)) {
+        if known.is_some_and(|known| !report.is_newer_than(&known.report)) {
             return false;
         }
         self.told.insert(report.boot, ToldReport { report: Arc::clone(report), taken: now });
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -31,8 +31,8 @@
     /// Routers that are due a report, which count as told.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         let Some(state) = self.engine_state() else { return Vec::new() };
-        let has_news = self.told_state.as_ref() != Some(&state);
-        let due = self.notices.keys().filter(|router| has_news || self.is_due(router, now));
+        let has_changes = self.told_state.as_ref() != Some(&state);
+        let due = self.notices.keys().filter(|router| has_changes || self.is_due(router, now));
         let due: Vec<SocketAddr> = due.copied().collect();
         for router in &due {
             let adapters = self.awaited_adapters(router);
--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -28,7 +28,7 @@
 /// grow with all engines; beyond this a router learns what an engine holds when it asks its loader.
 const HINT_LIMIT: usize = 32;
 
-/// A change of something that the store holds; the latest one of a thing says all.
+/// A change of something that the store holds; the latest one of an object says all.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SharedChange {
     /// The configuration.
@@ -41,9 +41,9 @@
     Crashes(Arc<CrashReport>),
 }
 
-/// The thing that changed.
+/// The object that changed.
 #[derive(Eq, Hash, PartialEq)]
-enum ChangedThing<'a> {
+enum ChangeKey<'a> {
     Config,
     Target(&'a InstanceId),
     Release(&'a AdapterId),
@@ -51,43 +51,44 @@
 }
 
 impl SharedChange {
-    fn thing(&self) -> ChangedThing<'_> {
+    fn key(&self) -> ChangeKey<'_> {
         match self {
-            Self::Config(_) => ChangedThing::Config,
-            Self::Target(change) => ChangedThing::Target(change.target()),
-            Self::Release(release) => ChangedThing::Release(&release.adapter),
-            Self::Crashes(report) => ChangedThing::Crashes(report.boot),
+            Self::Config(_) => ChangeKey::Config,
+            Self::Target(change) => ChangeKey::Target(change.target()),
+            Self::Release(release) => ChangeKey::Release(&release.adapter),
+            Self::Crashes(report) => ChangeKey::Crashes(report.boot),
         }
     }
 }
 
 /// What has changed of one kind since a revision.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct KindNews {
+pub struct KindDelta {
     /// Revision up to which this tells.
     pub revision: u64,
-    /// Whether it is all that there is of the kind: the asker was too far behind for changes alone.
-    pub is_whole: bool,
-    /// Changes, the last one of each thing only.
+    /// Whether it is all that there is of the kind, as the asker was too far behind for changes alone.
+    #[serde(rename = "is_whole")]
+    pub is_snapshot: bool,
+    /// Changes, the last one of each object only.
     pub changes: Vec<SharedChange>,
 }
 
 /// What a router tells another that asks for changes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct SharedNews {
+pub struct SharedDelta {
     /// Time in ms since the router at the head of the line last heard of the store.
     pub age_ms: u32,
     /// Time in ms since that router could read the list of targets again, if it had lost it shortly before.
     pub regained_ms: Option<u32>,
     /// Changes by kind, in the order of the question.
-    pub kinds: Vec<KindNews>,
+    pub kinds: Vec<KindDelta>,
 }
 
 /// Whether a router can do without a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ChangeWeight {
-    /// It must be told.
-    Needed,
+pub enum ChangeImportance {
+    /// It must be passed on.
+    Required,
     /// It saves a question to a loader.
     Hint,
 }
@@ -97,8 +98,8 @@
 pub struct LoggedChange {
     /// The change.
     pub change: SharedChange,
-    /// Whether it must be told.
-    pub weight: ChangeWeight,
+    /// Whether it must be passed on.
+    pub importance: ChangeImportance,
 }
 
 /// Latest changes of one kind.
@@ -149,15 +150,15 @@
         *self = Self::default();
     }
 
-    /// Whether there is anything to tell one that knows all up to `revision`.
-    pub fn has_news(&self, revision: u64) -> bool {
+    /// Whether there are changes for one that knows all up to `revision`.
+    pub fn has_changes(&self, revision: u64) -> bool {
         let is_newer = self.rounds.back().is_some_and(|(at, _)| *at > revision);
         !self.is_followed || revision < self.from || is_newer
     }
 
     /// What has changed since `revision`; `None` if that is not known. One who asks may be ahead, having
     /// heard of the store itself.
-    pub fn since(&self, revision: u64) -> Option<KindNews> {
+    pub fn since(&self, revision: u64) -> Option<KindDelta> {
         if !self.is_followed || revision < self.from {
             return None;
         }
@@ -165,22 +166,22 @@
         let newest_first = newer.flat_map(|(_, round)| round.iter().rev());
         let mut changes = without_excess_hints(latest_of_each(newest_first));
         changes.reverse();
-        Some(KindNews { revision: revision.max(self.revision), is_whole: false, changes })
+        Some(KindDelta { revision: revision.max(self.revision), is_snapshot: false, changes })
     }
 }
 
-/// The latest change of each thing, newest first. It must be told if an earlier change of the thing had to be.
+/// The latest change of each object, newest first. It is required if an earlier change of the object was.
 fn latest_of_each<'a>(newest_first: impl Iterator<Item = &'a LoggedChange>) -> Vec<LoggedChange> {
     let mut latest: Vec<LoggedChange> = Vec::new();
     let mut places = HashMap::new();
     for logged in newest_first {
-        match places.entry(logged.change.thing()) {
+        match places.entry(logged.change.key()) {
             Entry::Vacant(place) => {
                 place.insert(latest.len());
                 latest.push(logged.clone());
             }
-            Entry::Occupied(place) if logged.weight == ChangeWeight::Needed => {
-                latest[*place.get()].weight = ChangeWeight::Needed;
+            Entry::Occupied(place) if logged.importance == ChangeImportance::Required => {
+                latest[*place.get()].importance = ChangeImportance::Required;
             }
             Entry::Occupied(_) => {}
         }
@@ -191,8 +192,8 @@
 fn without_excess_hints(newest_first: Vec<LoggedChange>) -> Vec<SharedChange> {
     let mut hints = 0;
     let kept = newest_first.into_iter().filter(|logged| {
-        hints += usize::from(logged.weight == ChangeWeight::Hint);
-        logged.weight == ChangeWeight::Needed || hints <= HINT_LIMIT
+        hints += usize::from(logged.importance == ChangeImportance::Hint);
+        logged.importance == ChangeImportance::Required || hints <= HINT_LIMIT
     });
     kept.map(|logged| logged.change).collect()
 }
--- a/crates/core/src/direct/sharing/order.rs
+++ b/crates/core/src/direct/sharing/order.rs
@@ -51,11 +51,11 @@
         self.first.iter().position(|first| first.address == router)
     }
 
-    /// The router that tells the one at `own` what it needs at its start; `None` if that reads the store.
+    /// The router that sends the one at `own` what it needs at its start; `None` if that reads the store.
     ///
     /// Each router goes by those that it has been named so far, so that some more than [`FIRST_READERS`] read: the
     /// logarithm of all.
-    pub fn first_teller(&self, own: SocketAddr) -> Option<SocketAddr> {
+    pub fn bootstrap_upstream(&self, own: SocketAddr) -> Option<SocketAddr> {
         let is_reader = self.place(own).is_some_and(|place| place < FIRST_READERS);
         if is_reader { None } else { self.upstream(own, |_| true) }
     }
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -37,7 +37,7 @@
 
 impl StoreSource {
     /// How old what a router of this source knows may be for others to rely on it.
-    pub fn told_life(self, drain_time: Duration) -> Duration {
+    pub fn max_staleness(self, drain_time: Duration) -> Duration {
         let share = match self {
             Self::Router => RELAY_FRESH_SHARE,
             Self::Store | Self::Undecided => WATCHER_FRESH_SHARE,
@@ -46,11 +46,11 @@
     }
 }
 
-/// What an upstream answers.
+/// What an upstream replies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UpstreamWord {
+pub enum UpstreamReply {
     /// Changes.
-    News,
+    Changes,
     /// It does not follow the store.
     Denied,
     /// What it knows is too old to be relied on.
@@ -114,21 +114,26 @@
         order.upstream(self.own, |router| !self.avoided.contains_key(router))
     }
 
-    /// Takes what an upstream answered; returns whether it is left for a while.
-    pub fn take_word(&mut self, upstream: SocketAddr, word: UpstreamWord, now: Timestamp) -> bool {
-        match word {
-            UpstreamWord::News => {
+    /// Applies an upstream's reply; returns whether it is left for a while.
+    pub fn apply_reply(
+        &mut self,
+        upstream: SocketAddr,
+        reply: UpstreamReply,
+        now: Timestamp,
+    ) -> bool {
+        match reply {
+            UpstreamReply::Changes => {
                 self.denials = 0;
                 self.source = StoreSource::Router;
                 return false;
             }
-            UpstreamWord::Denied => {
+            UpstreamReply::Denied => {
                 self.denials += 1;
                 if self.denials < DENIALS || self.source == StoreSource::Undecided {
                     return false;
                 }
             }
-            UpstreamWord::Stale | UpstreamWord::Silent => {}
+            UpstreamReply::Stale | UpstreamReply::Silent => {}
         }
         self.denials = 0;
         self.avoided.insert(upstream, now + AVOID_TIME);
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -5,7 +5,7 @@
     call::{AdapterId, AdapterRelease},
     config::{ConfigNumber, RouteConfig, record::ConfigRecord},
     membership::{InstanceId, ListChange, TargetEntry, TargetIncarnation},
-    sharing::{ChangeWeight, LoggedChange, SharedChange},
+    sharing::{ChangeImportance, LoggedChange, SharedChange},
 };
 use crate::{
     crashes::{CrashReport, CrashReports},
@@ -87,9 +87,9 @@
         self.targets.get(&incarnation.id).is_some_and(|entry| entry.incarnation == *incarnation)
     }
 
-    /// The changes that turn the list as it is known into `whole`.
-    pub fn changes_to(&self, whole: &[SharedChange]) -> Vec<SharedChange> {
-        let entries = whole.iter().filter_map(|change| match change {
+    /// The changes that turn the list as it is known into `snapshot`.
+    pub fn changes_to(&self, snapshot: &[SharedChange]) -> Vec<SharedChange> {
+        let entries = snapshot.iter().filter_map(|change| match change {
             SharedChange::Target(ListChange::Put(entry)) => Some(entry),
             _ => None,
         });
@@ -105,10 +105,10 @@
         changes
     }
 
-    /// A change that was just heard, as the log keeps it.
+    /// A change that was just received, as the log keeps it.
     ///
     /// What an engine holds is told by its loader, so that a change of its adapters alone is no more than a hint.
-    pub fn weigh(&self, change: SharedChange) -> LoggedChange {
+    pub fn classify_change(&self, change: SharedChange) -> LoggedChange {
         let is_hint = match &change {
             SharedChange::Target(ListChange::Put(entry)) => {
                 let known = self.targets.get(&entry.incarnation.id);
@@ -116,8 +116,8 @@
             }
             _ => false,
         };
-        let weight = if is_hint { ChangeWeight::Hint } else { ChangeWeight::Needed };
-        LoggedChange { change, weight }
+        let importance = if is_hint { ChangeImportance::Hint } else { ChangeImportance::Required };
+        LoggedChange { change, importance }
     }
 
     /// Takes a version of an adapter unless it is older.
@@ -137,24 +137,24 @@
     }
 
     /// All reports of crashes, as changes.
-    pub fn whole_crashes(&self) -> Vec<SharedChange> {
+    pub fn crash_snapshot(&self) -> Vec<SharedChange> {
         self.crashes.iter().cloned().map(SharedChange::Crashes).collect()
     }
 
     /// The configuration, as a change.
-    pub fn whole_config(&self) -> Vec<SharedChange> {
+    pub fn config_snapshot(&self) -> Vec<SharedChange> {
         let config = self.config.iter();
         config.map(|config| SharedChange::Config(Arc::new(ConfigRecord::new(config)))).collect()
     }
 
     /// All targets, as changes.
-    pub fn whole_targets(&self) -> Vec<SharedChange> {
+    pub fn target_snapshot(&self) -> Vec<SharedChange> {
         let entries = self.targets.values().cloned();
         entries.map(|entry| SharedChange::Target(ListChange::Put(entry))).collect()
     }
 
     /// All newest versions, as changes.
-    pub fn whole_releases(&self) -> Vec<SharedChange> {
+    pub fn release_snapshot(&self) -> Vec<SharedChange> {
         let releases = self.releases.iter().map(|(adapter, version)| AdapterRelease {
             adapter: adapter.clone(),
             version: *version,
@@ -178,7 +178,7 @@
         is_current: bool,
         revisions: Vec<Option<u64>>,
     ) -> PeerSnapshot {
-        let is_news = self.has_targets && self.list_hash() != list;
+        let is_changed = self.has_targets && self.list_hash() != list;
         let newer = self.config.as_ref().filter(|config| config.number > number);
         let releases = self.releases.iter().map(|(adapter, version)| {
             (Arc::clone(&adapter.base), Arc::clone(&adapter.name), *version)
@@ -186,7 +186,7 @@
         PeerSnapshot {
             is_current,
             config: newer.map(|config| ConfigRecord::new(config)),
-            targets: is_news.then(|| self.targets.values().cloned().collect()),
+            targets: is_changed.then(|| self.targets.values().cloned().collect()),
             releases: releases.collect(),
             crashes: self.crashes.iter().cloned().collect(),
             revisions,
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -216,17 +216,17 @@
 
     /// One engine stands on a host: any other entry there is of an incarnation that has ended.
     fn displace_others(&mut self, host: IpAddr, incarnation: &TargetIncarnation) {
-        let mut has_news = false;
+        let mut is_changed = false;
         for target in self.targets.values_mut() {
             let is_engine = !target.entry.holdings.is_empty() || target.loader.is_some();
             let is_here = target.entry.address.ip() == host;
             let is_other = !target.entry.incarnation.may_equal(incarnation);
             if is_engine && is_here && is_other && !target.is_displaced {
                 target.is_displaced = true;
-                has_news = true;
+                is_changed = true;
             }
         }
-        if has_news {
+        if is_changed {
             self.mark_superseded();
         }
     }
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -78,7 +78,7 @@
         let mut meeting = MeetingPoint::default();
         let reads = |index: &u16| {
             let named = meeting.take(&presence("a", *index, true), ms(u64::from(*index))).near;
-            RelayOrder::new(named).first_teller(router(*index)).is_none()
+            RelayOrder::new(named).bootstrap_upstream(router(*index)).is_none()
         };
         let readers = (0..routers).filter(reads).count() as u32;
         let most = 3 * u32::from(routers).ilog2() + 2;
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -6,7 +6,7 @@
 use super::support::{DESK, ENGINES, target};
 use plantain_core::direct::{
     membership::{InstanceId, ListChange, TargetEntry},
-    sharing::{ChangeLog, ChangeWeight, LoggedChange, SharedChange, order::RelayOrder},
+    sharing::{ChangeImportance, ChangeLog, LoggedChange, SharedChange, order::RelayOrder},
     snapshot::FollowedState,
 };
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -92,8 +92,8 @@
 }
 
 fn needed(changes: Vec<SharedChange>) -> Vec<LoggedChange> {
-    let weight = ChangeWeight::Needed;
-    changes.into_iter().map(|change| LoggedChange { change, weight }).collect()
+    let importance = ChangeImportance::Required;
+    changes.into_iter().map(|change| LoggedChange { change, importance }).collect()
 }
 
 /// A router follows the keeper now and then, and otherwise asks one of two others that lose the keeper
@@ -207,17 +207,17 @@
 struct HintCase {
     name: &'static str,
     change: fn(&mut TargetEntry),
-    weight: ChangeWeight,
+    importance: ChangeImportance,
 }
 
 /// Guards against a change of a target that is left out as a hint: calls would go on to one that leaves, has moved, or
 /// has lost its base model.
 #[test]
 fn only_a_change_of_adapters_alone_is_a_hint() {
-    let needed = ChangeWeight::Needed;
-    let case = |name, weight, change| HintCase { name, change, weight };
+    let needed = ChangeImportance::Required;
+    let case = |name, importance, change| HintCase { name, change, importance };
     let cases = [
-        case("adapters", ChangeWeight::Hint, |entry| {
+        case("adapters", ChangeImportance::Hint, |entry| {
             entry.holdings[0].adapters.insert("a1".into(), 2);
         }),
         case("leaving", needed, |entry| entry.is_leaving = true),
@@ -238,6 +238,6 @@
         let mut changed = known.clone();
         (case.change)(&mut changed);
         let change = SharedChange::Target(ListChange::Put(Arc::new(changed)));
-        assert_eq!(state.weigh(change).weight, case.weight, "{}", case.name);
+        assert_eq!(state.classify_change(change).importance, case.importance, "{}", case.name);
     }
 }
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -7,8 +7,8 @@
         directory::{MeetingPoint, PeerView, RouterPresence, RouterRegister},
         membership::{BaseHolding, ListChange, TargetEntry},
         sharing::{
-            ChangeLog, ChangeWeight, LoggedChange, SharedChange, SharedNews,
-            source::{SourceMachine, SourceView, StoreSource, UpstreamWord},
+            ChangeImportance, ChangeLog, LoggedChange, SharedChange, SharedDelta,
+            source::{SourceMachine, SourceView, StoreSource, UpstreamReply},
         },
     },
     ids::ZoneName,
@@ -134,7 +134,7 @@
             counts: ZoneCounts::default(),
         };
         for index in 0..engines {
-            zone.put(entry(index, 0), ChangeWeight::Needed);
+            zone.put(entry(index, 0), ChangeImportance::Required);
         }
         zone.routers = (0..routers).map(|index| new_router(index, 0)).collect();
         zone.reset_counts();
@@ -187,16 +187,16 @@
         oldest
     }
 
-    fn put(&mut self, entry: TargetEntry, weight: ChangeWeight) {
+    fn put(&mut self, entry: TargetEntry, importance: ChangeImportance) {
         let change = SharedChange::Target(ListChange::Put(Arc::new(entry)));
-        self.changes.push(LoggedChange { change, weight });
+        self.changes.push(LoggedChange { change, importance });
     }
 
     fn change_engines(&mut self) {
         for index in 0..self.engines {
             let phase = index as u64 * STEP % CHANGE_PAUSE;
             if self.now % CHANGE_PAUSE == phase {
-                self.put(entry(index, self.now / CHANGE_PAUSE), ChangeWeight::Hint);
+                self.put(entry(index, self.now / CHANGE_PAUSE), ChangeImportance::Hint);
             }
         }
     }
@@ -279,38 +279,38 @@
         let known = self.routers[index].revision.unwrap_or(0);
         let upstream = &self.routers[question.upstream];
         let is_frozen = upstream.fault == RouterFault::Frozen;
-        let has_news = upstream.log.has_news(known);
-        let word = if is_frozen {
+        let has_changes = upstream.log.has_changes(known);
+        let reply = if is_frozen {
             if waited < QUESTION_LIMIT {
                 return;
             }
-            UpstreamWord::Silent
+            UpstreamReply::Silent
         } else if upstream.machine.source() == StoreSource::Undecided {
-            UpstreamWord::Denied
-        } else if !has_news && waited < QUESTION_WAIT {
+            UpstreamReply::Denied
+        } else if !has_changes && waited < QUESTION_WAIT {
             return;
-        } else if self.told_life_is_over(question.upstream) {
-            UpstreamWord::Stale
+        } else if self.is_too_stale(question.upstream) {
+            UpstreamReply::Stale
         } else if upstream.log.is_followed() {
-            UpstreamWord::News
+            UpstreamReply::Changes
         } else {
-            UpstreamWord::Denied
+            UpstreamReply::Denied
         };
-        if word == UpstreamWord::News {
+        if reply == UpstreamReply::Changes {
             self.tell(question.upstream, index);
         }
         let now = self.now;
         let router = &mut self.routers[index];
         router.question = None;
-        let is_left = router.machine.take_word(address(question.upstream), word, ms(now));
-        if word != UpstreamWord::News && !is_left {
+        let is_left = router.machine.apply_reply(address(question.upstream), reply, ms(now));
+        if reply != UpstreamReply::Changes && !is_left {
             router.next_question = now + RETRY_PAUSE;
         }
     }
 
-    fn told_life_is_over(&self, index: usize) -> bool {
+    fn is_too_stale(&self, index: usize) -> bool {
         let router = &self.routers[index];
-        let max_staleness = router.machine.source().told_life(ms(DRAIN));
+        let max_staleness = router.machine.source().max_staleness(ms(DRAIN));
         ms(self.now - router.heard_at) >= max_staleness
     }
 
@@ -323,7 +323,7 @@
         let kinds: Vec<_> = news.into_iter().collect();
         let changes: Vec<SharedChange> =
             kinds.iter().flat_map(|news| news.changes.iter().cloned()).collect();
-        let told = SharedNews { age_ms: 0, regained_ms: None, kinds };
+        let told = SharedDelta { age_ms: 0, regained_ms: None, kinds };
         let bytes = postcard::to_allocvec(&told).expect("news").len();
         self.counts.told_bytes[teller] += bytes;
         for askers in self.counts.askers.values_mut() {
@@ -331,8 +331,8 @@
         }
         self.counts.askers.entry(teller).or_default().push(asker);
         let router = &mut self.routers[asker];
-        let weight = ChangeWeight::Hint;
-        let hints = changes.into_iter().map(|change| LoggedChange { change, weight }).collect();
+        let importance = ChangeImportance::Hint;
+        let hints = changes.into_iter().map(|change| LoggedChange { change, importance }).collect();
         router.log.append(known, logged.max(known), hints);
         router.revision = Some(logged.max(known));
         router.heard_at = router.heard_at.max(heard_at);
--- a/crates/daemon/src/router/control/link.rs
+++ b/crates/daemon/src/router/control/link.rs
@@ -195,16 +195,16 @@
 
     /// The router that tells this one what it needs at its start, so that not all routers which start together read
     /// all of the store; `None` where this router reads for itself.
-    pub(in crate::router) fn first_teller(&self) -> Option<SocketAddr> {
+    pub(in crate::router) fn bootstrap_upstream(&self) -> Option<SocketAddr> {
         let is_new = self.age() < TELLER_WAIT && self.source() == StoreSource::Undecided;
         if !is_new || self.has_silent_teller.get() || self.state.borrow().is_complete() {
             return None;
         }
-        self.peers.borrow().near.first_teller(self.own_address())
+        self.peers.borrow().near.bootstrap_upstream(self.own_address())
     }
 
     /// The first teller does not tell: this router reads for itself.
-    pub(in crate::router) fn leave_first_teller(&self) {
+    pub(in crate::router) fn leave_bootstrap_upstream(&self) {
         self.has_silent_teller.set(true);
     }
 
@@ -240,17 +240,17 @@
         loop {
             let is_named = !self.peers.borrow().near.is_empty();
             let may_be_named = !is_named && self.age() < NAME_WAIT;
-            if self.is_listed() || !(may_be_named || self.first_teller().is_some()) {
+            if self.is_listed() || !(may_be_named || self.bootstrap_upstream().is_some()) {
                 return;
             }
             sleep(START_LOOK).await;
         }
     }
 
-    /// Waits until [`Self::first_teller`] is known; for ever where there is none in time.
-    pub(in crate::router) async fn first_teller_named(&self) {
+    /// Waits until [`Self::bootstrap_upstream`] is known; for ever where there is none in time.
+    pub(in crate::router) async fn bootstrap_upstream_named(&self) {
         let mut peers = self.peers.clone();
-        while self.first_teller().is_none() {
+        while self.bootstrap_upstream().is_none() {
             if self.age() >= TELLER_WAIT || peers.changed().await.is_err() {
                 pending::<()>().await;
             }
@@ -359,7 +359,7 @@
 
     /// How much longer others may rely on what is known here.
     pub(in crate::router) fn fresh_for(&self) -> Duration {
-        let limit = self.source().told_life(self.drain_time());
+        let limit = self.source().max_staleness(self.drain_time());
         limit.saturating_sub(clock::now().saturating_sub(self.heard_at.get()))
     }
 
@@ -380,25 +380,25 @@
     }
 
     /// What a whole list that was told changes of what is known, as the log keeps it.
-    pub(in crate::router) fn weigh_whole(
+    pub(in crate::router) fn classify_snapshot(
         &self,
         kind: FollowedKind,
         whole: &[SharedChange],
     ) -> Vec<LoggedChange> {
         if kind == FollowedKind::Targets {
             let changes = self.state.borrow().changes_to(whole);
-            return self.weigh(changes.into_iter());
+            return self.classify_changes(changes.into_iter());
         }
-        self.weigh(whole.iter().cloned())
+        self.classify_changes(whole.iter().cloned())
     }
 
     /// Changes as the log keeps them, before they are taken.
-    pub(in crate::router) fn weigh(
+    pub(in crate::router) fn classify_changes(
         &self,
         changes: impl Iterator<Item = SharedChange>,
     ) -> Vec<LoggedChange> {
         let state = self.state.borrow();
-        changes.map(|change| state.weigh(change)).collect()
+        changes.map(|change| state.classify_change(change)).collect()
     }
 
     /// The store, or a router that follows it, has told of a kind.
@@ -444,10 +444,10 @@
     pub(in crate::router) fn whole(&self, kind: FollowedKind) -> Vec<SharedChange> {
         let state = self.state.borrow();
         match kind {
-            FollowedKind::Config => state.whole_config(),
-            FollowedKind::Targets => state.whole_targets(),
-            FollowedKind::Releases => state.whole_releases(),
-            FollowedKind::Crashes => state.whole_crashes(),
+            FollowedKind::Config => state.config_snapshot(),
+            FollowedKind::Targets => state.target_snapshot(),
+            FollowedKind::Releases => state.release_snapshot(),
+            FollowedKind::Crashes => state.crash_snapshot(),
         }
     }
 
--- a/crates/daemon/src/router/crash_news.rs
+++ b/crates/daemon/src/router/crash_news.rs
@@ -110,7 +110,7 @@
     }
     ensure!(status.is_success(), "read: {status}");
     let stored = crashes::decode_stored(&body)?;
-    let is_same = |report: &CrashReport| !report.is_news_after(stale) && report.boot == stale.boot;
+    let is_same = |report: &CrashReport| !report.is_newer_than(stale) && report.boot == stale.boot;
     if !stored.report.as_ref().is_ok_and(is_same) {
         return Ok(());
     }
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -181,7 +181,7 @@
         let page = objects::decode_watch(self.kind, &body)?;
         self.tell_faults(&page);
         self.note_contact().await;
-        let logged = self.link.weigh(page.changes.iter().map(to_shared));
+        let logged = self.link.classify_changes(page.changes.iter().map(to_shared));
         let has_new_target = page.changes.iter().any(|change| self.link.is_new_target(change));
         let is_change = !page.changes.is_empty();
         if is_change {
--- a/crates/daemon/src/router/follow/told.rs
+++ b/crates/daemon/src/router/follow/told.rs
@@ -6,7 +6,7 @@
     direct::{
         config::record::ConfigRecord,
         membership::LAPSE_HOLD,
-        sharing::{KindNews, SharedChange, SharedNews},
+        sharing::{KindDelta, SharedChange, SharedDelta},
     },
     ids::Timestamp,
 };
@@ -15,7 +15,7 @@
 use std::{sync::Arc, time::Duration};
 
 /// Takes what another router has heard of the store.
-pub(in crate::router) async fn take_shared(news: SharedNews, link: &ControlLink) {
+pub(in crate::router) async fn take_shared(news: SharedDelta, link: &ControlLink) {
     let now = clock::now();
     let heard_at = now.saturating_sub(Duration::from_millis(news.age_ms.into()));
     link.heard_at.set(heard_at.max(link.heard_at.get()));
@@ -39,17 +39,17 @@
     }
 }
 
-async fn take_kind(kind: FollowedKind, news: KindNews, link: &ControlLink) {
+async fn take_kind(kind: FollowedKind, news: KindDelta, link: &ControlLink) {
     let known = link.progress(kind).revision.get();
     if known.is_some_and(|known| known > news.revision) {
         // A watch of this router's own was answered meanwhile; older changes would undo it.
         return;
     }
     link.note_contact(kind).await;
-    if news.is_whole {
+    if news.is_snapshot {
         info!(link.logger, "read whole through a router"; "step" => "follow",
             "kind" => kind.name(), "revision" => news.revision);
-        let logged = link.weigh_whole(kind, &news.changes);
+        let logged = link.classify_snapshot(kind, &news.changes);
         link.send(ControlEvent::Listed(kind, from_shared(news.changes, link))).await;
         link.progress(kind).revision.set(Some(news.revision));
         // Those behind this router need not read it whole for that.
@@ -59,7 +59,7 @@
         });
         return;
     }
-    let logged = link.weigh(news.changes.iter().cloned());
+    let logged = link.classify_changes(news.changes.iter().cloned());
     if !news.changes.is_empty() {
         link.send(ControlEvent::Changed(from_shared(news.changes, link))).await;
     }
--- a/crates/daemon/src/router/peers.rs
+++ b/crates/daemon/src/router/peers.rs
@@ -58,15 +58,15 @@
     let client = HttpClient::new();
     let began = clock::now();
     loop {
-        if link.first_teller().is_some() {
+        if link.bootstrap_upstream().is_some() {
             sleep(FIRST_ASK_PAUSE).await;
         } else {
             tokio::select! {
                 () = sleep(ASK_PAUSE) => {}
-                () = link.first_teller_named() => {}
+                () = link.bootstrap_upstream_named() => {}
             }
         }
-        let teller = link.first_teller();
+        let teller = link.bootstrap_upstream();
         let is_early = clock::now().saturating_sub(began) < START_PAUSE;
         if !link.is_lost() || (teller.is_none() && is_early) {
             continue;
@@ -101,7 +101,7 @@
         _ => decode_snapshot(&uri, &answer).map(Some),
     });
     if told.is_err() {
-        link.leave_first_teller();
+        link.leave_bootstrap_upstream();
     }
     told
 }
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -10,8 +10,8 @@
     direct::{
         membership::LAPSE_HOLD,
         sharing::{
-            KindNews, SharedNews,
-            source::{SourceMachine, SourceView, UpstreamWord},
+            KindDelta, SharedDelta,
+            source::{SourceMachine, SourceView, UpstreamReply},
         },
     },
     ids::Timestamp,
@@ -76,9 +76,9 @@
     }
 
     async fn hear(&mut self, upstream: SocketAddr) {
-        let (word, reason) = match ask(&self.client, upstream, &self.link.revisions()).await {
+        let (reply, reason) = match ask(&self.client, upstream, &self.link.revisions()).await {
             Ok(Heard::News(news)) => {
-                self.machine.take_word(upstream, UpstreamWord::News, clock::now());
+                self.machine.apply_reply(upstream, UpstreamReply::Changes, clock::now());
                 if self.link.set_source(self.machine.source()) {
                     info!(self.link.logger, "store followed through a router"; "step" => "sharing",
                         "peer" => %upstream);
@@ -86,13 +86,13 @@
                 told::take_shared(news, &self.link).await;
                 return;
             }
-            Ok(Heard::Denied) => (UpstreamWord::Denied, "it does not follow the store".to_owned()),
+            Ok(Heard::Denied) => (UpstreamReply::Denied, "it does not follow the store".to_owned()),
             Ok(Heard::Stale) => {
-                (UpstreamWord::Stale, "it has not heard of the store for too long".to_owned())
+                (UpstreamReply::Stale, "it has not heard of the store for too long".to_owned())
             }
-            Err(error) => (UpstreamWord::Silent, format!("{error:#}")),
+            Err(error) => (UpstreamReply::Silent, format!("{error:#}")),
         };
-        if self.machine.take_word(upstream, word, clock::now()) {
+        if self.machine.apply_reply(upstream, reply, clock::now()) {
             warn!(self.link.logger, "upstream left"; "step" => "sharing", "peer" => %upstream,
                 "reason" => reason);
         } else {
@@ -104,7 +104,7 @@
 /// What an upstream answers.
 enum Heard {
     /// Changes.
-    News(SharedNews),
+    News(SharedDelta),
     /// It does not follow the store.
     Denied,
     /// What it knows is too old to be relied on.
@@ -123,7 +123,7 @@
         STALE => return Ok(Heard::Stale),
         status => ensure!(status == StatusCode::OK, "GET {uri}: {status}"),
     }
-    let news: SharedNews = postcard::from_bytes(&answer.body)
+    let news: SharedDelta = postcard::from_bytes(&answer.body)
         .wrap_err_with(|| format!("decode changes of {upstream}"))?;
     let kinds = news.kinds.len();
     ensure!(kinds == revisions.len(), "{upstream} told of {kinds} kinds");
@@ -141,7 +141,7 @@
             // Enabled before the look, so that a change between the two is not missed.
             let mut woken = pin!(link.log_changed.notified());
             woken.as_mut().enable();
-            if has_news(link, &revisions) {
+            if has_changes(link, &revisions) {
                 return;
             }
             woken.await;
@@ -154,7 +154,7 @@
     if link.fresh_for().is_zero() {
         return (STALE, Bytes::new());
     }
-    let Some(news) = news_since(link, &revisions) else { return (DENIED, Bytes::new()) };
+    let Some(news) = delta_since(link, &revisions) else { return (DENIED, Bytes::new()) };
     match postcard::to_allocvec(&news) {
         Ok(bytes) => (StatusCode::OK, bytes.into()),
         Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
@@ -162,7 +162,7 @@
 }
 
 /// What has changed since the revisions; `None` unless this router follows all kinds.
-fn news_since(link: &ControlLink, revisions: &[u64]) -> Option<SharedNews> {
+fn delta_since(link: &ControlLink, revisions: &[u64]) -> Option<SharedDelta> {
     let logs = link.logs.borrow();
     if logs.iter().any(|log| !log.is_followed()) {
         return None;
@@ -173,18 +173,18 @@
     let kinds = FollowedKind::ALL.into_iter().zip(logs.iter()).zip(revisions);
     let kinds = kinds.map(|((kind, log), revision)| {
         let whole =
-            || KindNews { revision: log.revision(), is_whole: true, changes: link.whole(kind) };
+            || KindDelta { revision: log.revision(), is_snapshot: true, changes: link.whole(kind) };
         log.since(*revision).unwrap_or_else(whole)
     });
-    Some(SharedNews {
+    Some(SharedDelta {
         age_ms: age_of(link.heard_at.get()),
         regained_ms: link.regained_at.get().filter(is_lately).map(age_of),
         kinds: kinds.collect(),
     })
 }
 
-fn has_news(link: &ControlLink, revisions: &[u64]) -> bool {
+fn has_changes(link: &ControlLink, revisions: &[u64]) -> bool {
     let logs = link.logs.borrow();
     let mut kinds = logs.iter().zip(revisions);
-    kinds.any(|(log, revision)| log.has_news(*revision))
+    kinds.any(|(log, revision)| log.has_changes(*revision))
 }
