--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -17,7 +17,7 @@
     ids::{BootId, Timestamp},
 };
 pub use report::{
-    CrashRecord, CrashReport, CrashReports, IncarnationHash, RECORD_LIMIT, REPORT_LIFE,
+    CrashRecord, CrashReport, CrashReports, IncarnationHash, RECORD_LIMIT, REPORT_TTL,
 };
 pub use runs::{IncarnationPhase, OpenRun, OpenRuns};
 use std::{
@@ -32,11 +32,11 @@
 pub const HOLD_CRASHES: usize = 3;
 /// Time for which a crash counts against a call. Callers give up on a request within a minute or so; one
 /// that comes by the hour costs three targets each time, and a call held by mistake is free after this.
-pub const CRASH_LIFE: Duration = Duration::from_mins(10);
+pub const CRASH_TTL: Duration = Duration::from_mins(10);
 
 /// Time for which a run that came to its end speaks for its call against crashes that show only afterwards:
 /// as long as a crash may take to show, and the news of it to come.
-const SURVIVAL_LIFE: Duration = Duration::from_secs(10);
+const SURVIVAL_TTL: Duration = Duration::from_secs(10);
 /// Calls whose runs came to their ends lately, that a router remembers: some 100 a second. Bounds memory at
 /// about 50 kB.
 const SURVIVOR_LIMIT: usize = 1_024;
@@ -111,7 +111,7 @@
     /// shows only now. Returns whether any did.
     pub fn record_survival(&mut self, call: CallFingerprint, now: Timestamp) -> bool {
         if self.survivors.len() >= SURVIVOR_LIMIT {
-            self.survivors.retain(|_, at| now.saturating_sub(*at) < SURVIVAL_LIFE);
+            self.survivors.retain(|_, at| now.saturating_sub(*at) < SURVIVAL_TTL);
         }
         if self.survivors.len() < SURVIVOR_LIMIT || self.survivors.contains_key(&call) {
             self.survivors.insert(call, now);
@@ -129,7 +129,7 @@
     fn clear_survivors(&mut self, records: &[CrashRecord], now: Timestamp) {
         for record in records {
             let survived = self.survivors.get(&record.call);
-            let is_recent = survived.is_some_and(|at| now.saturating_sub(*at) < SURVIVAL_LIFE);
+            let is_recent = survived.is_some_and(|at| now.saturating_sub(*at) < SURVIVAL_TTL);
             if is_recent && self.counted(record.call).contains(&record.target) {
                 self.clear(*record);
             }
@@ -162,7 +162,7 @@
     /// Drops what no longer counts; returns whether the own report has changed.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         self.told.expire(now);
-        let is_old = |at: &Timestamp| now.saturating_sub(*at) >= CRASH_LIFE;
+        let is_old = |at: &Timestamp| now.saturating_sub(*at) >= CRASH_TTL;
         let count = self.recorded.iter().take_while(|at| is_old(at)).count();
         if count == 0 {
             return false;
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -1,6 +1,6 @@
 //! What routers and agents tell of crashes: whole reports, kept by their teller's start and number.
 
-use super::CRASH_LIFE;
+use super::CRASH_TTL;
 use crate::{
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
@@ -20,11 +20,11 @@
 /// end together. Bounds a report at about 13 kB on the wire.
 pub const RECORD_LIMIT: usize = 256;
 /// Records of all reports that a router keeps: 1 MB of memory. Far more than are told within
-/// [`CRASH_LIFE`] unless the whole fleet's targets end again and again.
+/// [`CRASH_TTL`] unless the whole fleet's targets end again and again.
 const LEDGER_LIMIT: usize = 32_768;
 /// Time after which a report that was not renewed is dropped: its teller is gone, or has nothing to tell,
 /// for it renews its report when its crashes no longer count.
-pub const REPORT_LIFE: Duration = CRASH_LIFE.saturating_mul(2);
+pub const REPORT_TTL: Duration = CRASH_TTL.saturating_mul(2);
 
 /// Hash of a target's incarnation.
 pub type IncarnationHash = u64;
@@ -164,7 +164,7 @@
     pub fn expire(&mut self, now: Timestamp) -> Vec<Arc<CrashReport>> {
         let mut dropped = Vec::new();
         self.told.retain(|_, told| {
-            let is_kept = now.saturating_sub(told.taken) < REPORT_LIFE;
+            let is_kept = now.saturating_sub(told.taken) < REPORT_TTL;
             if !is_kept {
                 dropped.push(Arc::clone(&told.report));
             }
--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -8,7 +8,7 @@
 
 /// Time for which a run whose end is unknown may prove to have been under way when its target ended: a
 /// target that falls silent leaves the list after three missed heartbeats, some 4 s.
-const OPEN_RUN_LIFE: Duration = Duration::from_secs(6);
+const OPEN_RUN_TTL: Duration = Duration::from_secs(6);
 /// Runs with an unknown end that a router remembers; bounds memory at about 30 kB.
 const OPEN_RUN_LIMIT: usize = 512;
 /// Targets whose last answers a router remembers: more than a fleet has.
@@ -59,7 +59,7 @@
     /// A target answered: it lives, whatever it broke off before.
     pub fn note_answer(&mut self, target: &TargetIncarnation, now: Timestamp) {
         if self.answers.len() >= ANSWER_LIMIT {
-            self.answers.retain(|_, at| now.saturating_sub(*at) < OPEN_RUN_LIFE);
+            self.answers.retain(|_, at| now.saturating_sub(*at) < OPEN_RUN_TTL);
         }
         if let Some(at) = self.answers.get_mut(target) {
             *at = now;
@@ -118,7 +118,7 @@
         phase: impl Fn(&TargetIncarnation) -> IncarnationPhase,
         now: Timestamp,
     ) -> Vec<TargetIncarnation> {
-        self.runs.retain(|run| now.saturating_sub(run.left) < OPEN_RUN_LIFE);
+        self.runs.retain(|run| now.saturating_sub(run.left) < OPEN_RUN_TTL);
         let incarnations: BTreeSet<TargetIncarnation> =
             self.runs.iter().map(|run| run.target.clone()).collect();
         let mut ended = Vec::new();
--- a/crates/core/src/direct/demand.rs
+++ b/crates/core/src/direct/demand.rs
@@ -35,7 +35,7 @@
 }
 
 /// Time for which reported rates are believed: a router hears of an engine only while it has calls there.
-const RATE_LIFE: Duration = Duration::from_secs(5);
+const RATE_TTL: Duration = Duration::from_secs(5);
 
 /// Rates that one engine's loader reported.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
         if self.own.len() > COUNT_LIMIT {
             self.own.retain(|_, count| count.read(now) > COUNT_FLOOR);
         }
-        let is_old = |told: &ReportedRates| now.saturating_sub(told.at) >= RATE_LIFE;
+        let is_old = |told: &ReportedRates| now.saturating_sub(told.at) >= RATE_TTL;
         let old = self.by_engine.extract_if(|_, told| is_old(told));
         for (_, told) in old.collect::<Vec<_>>() {
             self.subtract(&told);
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -13,7 +13,7 @@
     target_limit::LimitUpdate,
 };
 use crate::{
-    crashes::REPORT_LIFE,
+    crashes::REPORT_TTL,
     ids::{Timestamp, ZoneName},
     rendezvous::weight,
 };
@@ -32,13 +32,13 @@
 const MEETING_LOADERS: usize = 2;
 /// Time for which a loader counts a router as alive. A router comes by each second, at the loaders of its
 /// zone in turn, so that one of its datagrams may be lost.
-const PRESENCE_LIFE: Duration = Duration::from_secs(5);
+const PRESENCE_TTL: Duration = Duration::from_secs(5);
 /// Time for which a router that a loader named counts as alive: three answers.
-const PEER_LIFE: Duration = Duration::from_secs(3);
+const PEER_TTL: Duration = Duration::from_secs(3);
 /// Time for which the number of a zone's routers is believed: two rounds of questions over ten zones. A zone
 /// that parts from the others leaves its number behind for as long: the shares of a common budget then stay
 /// too small, never too large.
-const COUNT_LIFE: Duration = Duration::from_secs(20);
+const COUNT_TTL: Duration = Duration::from_secs(20);
 /// Turns after its start in which a router asks for the numbers of all zones. Where all have just started,
 /// the first answers count only those that were there first, and shares of a budget would be too large
 /// until each zone's turn comes round again. With half of all answers lost, four turns left one router of
@@ -129,7 +129,7 @@
 impl MeetingPoint {
     /// A router came by; what it is told in answer.
     pub fn take(&mut self, presence: &RouterPresence, now: Timestamp) -> RouterDirectory {
-        self.members.retain(|_, member| now.saturating_sub(member.seen) < PRESENCE_LIFE);
+        self.members.retain(|_, member| now.saturating_sub(member.seen) < PRESENCE_TTL);
         if self.members.len() < MEMBER_LIMIT || self.members.contains_key(&presence.address) {
             let member = self.members.entry(presence.address).or_insert_with(|| Member {
                 zone: presence.zone.clone(),
@@ -165,9 +165,8 @@
 
     fn counts(&self, now: Timestamp) -> BTreeMap<ZoneName, u16> {
         let mut counts = BTreeMap::new();
-        let is_here = |member: &&Member| {
-            member.met.is_some_and(|met| now.saturating_sub(met) < PRESENCE_LIFE)
-        };
+        let is_here =
+            |member: &&Member| member.met.is_some_and(|met| now.saturating_sub(met) < PRESENCE_TTL);
         for member in self.members.values().filter(is_here) {
             let count: &mut u16 = counts.entry(member.zone.clone()).or_default();
             *count = count.saturating_add(1);
@@ -229,13 +228,13 @@
         let far = directory.far.iter().map(|address| (*address, false));
         let named = near.chain(far).map(|(address, is_near)| PeerRouter { address, is_near });
         self.seen.extend(named.map(|peer| (peer, now)));
-        self.seen.retain(|_, seen| now.saturating_sub(*seen) < PEER_LIFE);
+        self.seen.retain(|_, seen| now.saturating_sub(*seen) < PEER_TTL);
         for (zone, count) in &directory.counts {
             // Loaders hear of a change at different times. The highest word counts: with too low a number
             // each router would take too much of what all share.
             let known = self.counts.entry(zone.clone()).or_insert((0, now));
             let count = usize::from(*count);
-            if count >= known.0 || now.saturating_sub(known.1) >= PRESENCE_LIFE {
+            if count >= known.0 || now.saturating_sub(known.1) >= PRESENCE_TTL {
                 *known = (count, now);
             }
         }
@@ -267,7 +266,7 @@
     /// Drops the names of routers that have not renewed their reports.
     pub fn expire(&mut self, now: Timestamp) {
         if !self.is_lost {
-            self.named.retain(|_, read| now.saturating_sub(*read) < REPORT_LIFE);
+            self.named.retain(|_, read| now.saturating_sub(*read) < REPORT_TTL);
         }
     }
 
@@ -297,7 +296,7 @@
 
     /// The other routers as the control thread sees them, for the router at `own` in `zone`.
     pub fn view(&self, zone: &ZoneName, own: SocketAddr, now: Timestamp) -> PeerView {
-        let alive = self.seen.iter().filter(|(_, seen)| now.saturating_sub(**seen) < PEER_LIFE);
+        let alive = self.seen.iter().filter(|(_, seen)| now.saturating_sub(**seen) < PEER_TTL);
         let (near, far): (Vec<_>, Vec<_>) =
             alive.map(|(peer, _)| *peer).partition(|peer| peer.is_near);
         let addresses = |peers: Vec<PeerRouter>| peers.into_iter().map(|peer| peer.address);
@@ -314,7 +313,7 @@
         let alive = self
             .seen
             .iter()
-            .filter(|(peer, seen)| peer.address != own && now.saturating_sub(**seen) < PEER_LIFE);
+            .filter(|(peer, seen)| peer.address != own && now.saturating_sub(**seen) < PEER_TTL);
         alive.map(|(peer, _)| *peer).collect()
     }
 
@@ -331,7 +330,7 @@
 
     fn counted(&self, zone: &ZoneName, now: Timestamp) -> usize {
         let counted = self.counts.get(zone);
-        let fresh = counted.filter(|(_, at)| now.saturating_sub(*at) < COUNT_LIFE);
+        let fresh = counted.filter(|(_, at)| now.saturating_sub(*at) < COUNT_TTL);
         fresh.map_or(0, |(count, _)| *count)
     }
 }
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -37,7 +37,7 @@
 /// Longest pause after a refusal: the limit may have ended, and what then comes first tells so.
 const LONGEST_REST: Duration = Duration::from_secs(3);
 /// Time after which an account that no call used is dropped.
-const ACCOUNT_LIFE: Duration = Duration::from_mins(1);
+const ACCOUNT_TTL: Duration = Duration::from_mins(1);
 
 /// Whether a call may go on.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -273,7 +273,7 @@
             }
         }
         self.accounts.retain(|_, account| {
-            !account.waiting.is_empty() || now.saturating_sub(account.used) < ACCOUNT_LIFE
+            !account.waiting.is_empty() || now.saturating_sub(account.used) < ACCOUNT_TTL
         });
     }
 
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -13,7 +13,7 @@
 
 /// Time for which a meter's word is believed. Calls beyond a limit, and slices that are not granted, then cost no
 /// trip each.
-const WORD_LIFE: Duration = Duration::from_millis(50);
+const WORD_TTL: Duration = Duration::from_millis(50);
 /// Slices that a meter must have left to give one out whole.
 const SCARCE_SLICES: f64 = 10.0;
 /// Time from the first call under a limit to the first grant.
@@ -23,11 +23,11 @@
 /// Longest time after which a caller is told to come back; by then much may have changed.
 const LONGEST_PAUSE: Duration = Duration::from_secs(30);
 /// Time for which a router holds more than a slice that it does not use.
-const HOLD_LIFE: Duration = Duration::from_secs(1);
+const HOLD_TTL: Duration = Duration::from_secs(1);
 /// Part of the limit for which units are drawn: several routers draw one at the same time now and then.
 const TURN_SHARE: f64 = 0.5;
 /// Time for which a drawn unit may be used.
-const TURN_LIFE: Duration = Duration::from_secs(1);
+const TURN_TTL: Duration = Duration::from_secs(1);
 
 /// What a meter last said of a limit.
 #[derive(Clone, Copy, Debug)]
@@ -120,7 +120,7 @@
     /// What its meter has just said, if no call waits for more.
     pub(super) fn fresh_word(&self, now: Timestamp) -> Option<&MeterWord> {
         let word = self.word.as_ref().filter(|_| self.waiting.is_empty());
-        word.filter(|word| now.saturating_sub(word.at) < WORD_LIFE)
+        word.filter(|word| now.saturating_sub(word.at) < WORD_TTL)
     }
 
     /// Whether its meter has just said that nothing is left.
@@ -171,7 +171,7 @@
     /// Drops what was granted beyond a slice and not used at once, as where a caller left: the bucket counts it
     /// as used, and used later it would add to what is granted then.
     pub(super) fn drop_unused(&mut self, shares: &LimitShares, now: Timestamp) {
-        let is_idle = self.waiting.is_empty() && now.saturating_sub(self.used) >= HOLD_LIFE;
+        let is_idle = self.waiting.is_empty() && now.saturating_sub(self.used) >= HOLD_TTL;
         if self.meter.is_some() && is_idle {
             self.balance = self.balance.min(shares.slice);
         }
@@ -231,7 +231,7 @@
         if (draw as f64) < TURN_SHARE * units * u64::MAX as f64 {
             self.balance = 1.0;
             self.drawn = now;
-        } else if now.saturating_sub(self.drawn) >= TURN_LIFE {
+        } else if now.saturating_sub(self.drawn) >= TURN_TTL {
             self.balance = self.balance.min(0.0);
         }
     }
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -27,9 +27,9 @@
 /// Limits that a meter remembers.
 const LIMIT_COUNT: usize = 8_192;
 /// Time after which a router that is not heard of is forgotten, with what it was granted.
-const ROUTER_LIFE: Duration = Duration::from_secs(10);
+const ROUTER_TTL: Duration = Duration::from_secs(10);
 /// Time after which a limit that nobody uses is forgotten: by then its bucket is full.
-const LIMIT_LIFE: Duration = Duration::from_mins(1);
+const LIMIT_TTL: Duration = Duration::from_mins(1);
 /// Time in which the routers that use a limit have come over to a meter that is new to it.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Part of what is left that a router may hold for calls to come.
@@ -143,8 +143,8 @@
     }
 
     fn forget_routers(&mut self, now: Timestamp) {
-        self.routers.retain(|_, router| now.saturating_sub(router.heard) < ROUTER_LIFE);
-        self.limits.retain(|_, limit| now.saturating_sub(limit.used) < LIMIT_LIFE);
+        self.routers.retain(|_, router| now.saturating_sub(router.heard) < ROUTER_TTL);
+        self.limits.retain(|_, limit| now.saturating_sub(limit.used) < LIMIT_TTL);
     }
 
     /// Refills all buckets, and counts the routers that are alive, by the meters that they can reach: a few
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -38,7 +38,7 @@
 /// Adapters that may be on their way to an engine at once, as the engines allow.
 pub const TRANSIT_LIMIT: usize = 4;
 /// Age after which a router's notice counts no more; routers send one at least each second.
-const NOTICE_LIFE: Duration = Duration::from_millis(2_500);
+const NOTICE_TTL: Duration = Duration::from_millis(2_500);
 /// Time for which a wish must have waited before an adapter in use gives way to it. The unload waits for
 /// the runs of the adapter, and all other loads of the engine wait for the unload, so this is the last
 /// resort: at 0.4 s, an engine whose runs had become slow stood still most of the time.
@@ -369,7 +369,7 @@
 
     /// Drops what has outlived its time and says what comes next.
     pub fn next_step(&mut self, now: Timestamp) -> LoaderStep {
-        self.notices.retain(|_, state| now.saturating_sub(state.received) < NOTICE_LIFE);
+        self.notices.retain(|_, state| now.saturating_sub(state.received) < NOTICE_TTL);
         self.lost.expire(now);
         if now >= self.next_poll {
             return LoaderStep::Poll;
--- a/crates/core/src/direct/loader/lost_orders.rs
+++ b/crates/core/src/direct/loader/lost_orders.rs
@@ -11,7 +11,7 @@
 
 /// Time after which an order that got no answer is taken to be gone for good. They are carried out some
 /// seconds late; this is several times that, and costs one place of an engine for as long.
-const LOST_LIFE: Duration = Duration::from_secs(20);
+const LOST_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
 struct LostOrder {
@@ -46,7 +46,7 @@
 
     /// Forgets what has outlived its time.
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.orders.retain(|order| now.saturating_sub(order.given) < LOST_LIFE);
+        self.orders.retain(|order| now.saturating_sub(order.given) < LOST_TTL);
     }
 
     /// Places that loads lost in earlier incarnations under the same id may yet take from an engine that has
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -15,18 +15,18 @@
 
 /// Age after which a loader's report no longer says what its engine holds: within this, an engine whose
 /// adapters are all wanted elsewhere has replaced most of those that nobody uses.
-pub const REPORT_LIFE: Duration = Duration::from_millis(2_500);
+pub const REPORT_TTL: Duration = Duration::from_millis(2_500);
 /// Age up to which a report is believed in what an engine holds without asking again. An adapter that was
 /// evicted meanwhile costs the call a refusal, and the fleet one of its repeats.
-const SURE_LIFE: Duration = Duration::from_millis(300);
+const SURE_TTL: Duration = Duration::from_millis(300);
 /// Time without an answer after which a loader counts as silent. It answers within a millisecond, but a
 /// host may be held up for the rest of a tenth of a second when it has used up its share of a core.
 const SILENCE: Duration = Duration::from_millis(150);
 /// Time after which a silent loader is asked again.
-const SILENCE_LIFE: Duration = Duration::from_secs(2);
+const SILENCE_TTL: Duration = Duration::from_secs(2);
 
 /// Time for which a limit that had no room keeps adapters away from its target.
-const CROWDED_LIFE: Duration = Duration::from_secs(10);
+const CROWDED_TTL: Duration = Duration::from_secs(10);
 
 /// What a loader last reported of its engine.
 #[derive(Clone, Debug)]
@@ -126,7 +126,7 @@
     /// The loader's report, if it is fresh at `now`.
     pub fn fresh_report(&self, now: Timestamp) -> Option<&LoaderReport> {
         let view = self.loader.as_ref()?;
-        (now.saturating_sub(view.received) < REPORT_LIFE).then_some(&view.report)
+        (now.saturating_sub(view.received) < REPORT_TTL).then_some(&view.report)
     }
 
     /// Takes its loader's report.
@@ -137,7 +137,7 @@
 
     /// Wants a report of its loader; returns whether that is a new question.
     pub(super) fn ask(&mut self, now: Timestamp) -> bool {
-        let is_new = self.question.is_none_or(|at| now.saturating_sub(at) >= SILENCE_LIFE);
+        let is_new = self.question.is_none_or(|at| now.saturating_sub(at) >= SILENCE_TTL);
         if is_new {
             self.question = Some(now);
         }
@@ -162,7 +162,7 @@
     /// Whether its loader does not answer.
     pub fn is_silent(&self, now: Timestamp) -> bool {
         let waited = self.question.map(|at| now.saturating_sub(at));
-        waited.is_some_and(|waited| (SILENCE..SILENCE_LIFE).contains(&waited))
+        waited.is_some_and(|waited| (SILENCE..SILENCE_TTL).contains(&waited))
     }
 
     /// Whether its loader is silent, and that was not noted before.
@@ -180,7 +180,7 @@
         let age = now.saturating_sub(view.received);
         // The loader keeps an adapter for as long as it knows of a call that uses it.
         let is_kept = self.uses.get(adapter).is_some_and(|counts| counts.running > 0);
-        age < SURE_LIFE || (is_kept && age < REPORT_LIFE) || self.is_silent(now)
+        age < SURE_TTL || (is_kept && age < REPORT_TTL) || self.is_silent(now)
     }
 
     /// Whether it is an engine that holds no base model.
@@ -243,7 +243,7 @@
     pub fn is_crowded(&self, now: Timestamp) -> bool {
         self.is_limited()
             && !self.full_until.is_zero()
-            && now.saturating_sub(self.full_until) < CROWDED_LIFE
+            && now.saturating_sub(self.full_until) < CROWDED_TTL
     }
 
     /// Whether its limit was found to have no room.
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -3,8 +3,8 @@
 
 use plantain_core::{
     crashes::{
-        CRASH_LIFE, CrashLedger, CrashReport, HOLD_CRASHES, IncarnationPhase, OpenRun, OpenRuns,
-        RECORD_LIMIT, REPORT_LIFE,
+        CRASH_TTL, CrashLedger, CrashReport, HOLD_CRASHES, IncarnationPhase, OpenRun, OpenRuns,
+        RECORD_LIMIT, REPORT_TTL,
     },
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
@@ -169,15 +169,15 @@
     let mut lonely = ledger(3);
     for router in [&mut hearer, &mut lonely] {
         router.take_report(&report(&teller), NOW);
-        assert!(!router.expire(NOW + CRASH_LIFE), "it has nothing of its own to tell");
+        assert!(!router.expire(NOW + CRASH_TTL), "it has nothing of its own to tell");
         assert!(router.is_held(FATAL));
     }
-    assert!(!teller.expire(NOW + CRASH_LIFE / 2));
-    assert!(teller.expire(NOW + CRASH_LIFE));
+    assert!(!teller.expire(NOW + CRASH_TTL / 2));
+    assert!(teller.expire(NOW + CRASH_TTL));
     assert!(!teller.is_held(FATAL));
-    hearer.take_report(&report(&teller), NOW + CRASH_LIFE);
+    hearer.take_report(&report(&teller), NOW + CRASH_TTL);
     assert!(!hearer.is_held(FATAL));
-    lonely.expire(NOW + REPORT_LIFE);
+    lonely.expire(NOW + REPORT_TTL);
     assert!(lonely.is_empty());
 }
 
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -18,7 +18,7 @@
 };
 use metrics::{counter, histogram};
 use plantain_core::{
-    crashes::CRASH_LIFE,
+    crashes::CRASH_TTL,
     entry::RouteChoice,
     fingerprint::CallFingerprint,
     ids::{AdapterKey, ConfigRevision, RequestId, TargetName},
@@ -123,7 +123,7 @@
                 return ExchangeEnd::Error(self.give_up(&last.unwrap_or(late)));
             }
             if self.is_held() {
-                let held = NotRunProof::never_offered(RefusalReason::HeldBack, Some(CRASH_LIFE));
+                let held = NotRunProof::never_offered(RefusalReason::HeldBack, Some(CRASH_TTL));
                 return ExchangeEnd::Error(self.give_up(&held));
             }
             let choice = match self.choose().await {
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -84,7 +84,7 @@
     pub(crate) fn give_back(&self, connection: TargetConnection, keep: Option<Duration>) {
         let keep = match keep {
             Some(stated) => stated.mul_f64(constants::LIFE_SHARE),
-            None => constants::UNSTATED_LIFE,
+            None => constants::UNSTATED_TTL,
         };
         if keep.is_zero() || connection.sender.is_closed() {
             return;
--- a/crates/daemon/src/router/constants.rs
+++ b/crates/daemon/src/router/constants.rs
@@ -14,7 +14,7 @@
 pub(crate) const PROBE_TRIES: u32 = 3;
 /// Unused time after which a connection is not used again where the target does not say how long it
 /// keeps it: a call that may not be repeated must not meet a close on its way.
-pub(crate) const UNSTATED_LIFE: Duration = Duration::from_millis(700);
+pub(crate) const UNSTATED_TTL: Duration = Duration::from_millis(700);
 /// Part of a stated life for which a connection is used.
 pub(crate) const LIFE_SHARE: f64 = 0.7;
 /// Unused connections kept for one target; more are closed.
@@ -49,7 +49,7 @@
 /// Pause between looks at a load that a call waits for, beside the loader's reports.
 pub(crate) const LOAD_LOOK: Duration = Duration::from_millis(60);
 /// Time for which a wish ahead of calls is kept.
-pub(crate) const PREFETCH_LIFE: Duration = Duration::from_secs(2);
+pub(crate) const PREFETCH_TTL: Duration = Duration::from_secs(2);
 /// Calls a second over the fleet from which an adapter is looked at for copies: one copy carries twice
 /// as many.
 pub(crate) const PREFETCH_RATE: f64 = 5.0;
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -251,7 +251,7 @@
     /// Wishes for copies of the adapters that are wanted often, where they are missing.
     pub(crate) fn prefetch(&self, now: Timestamp) {
         let mut pool = self.pool.borrow_mut();
-        pool.drop_old_prefetches(constants::PREFETCH_LIFE, now);
+        pool.drop_old_prefetches(constants::PREFETCH_TTL, now);
         let zone = Arc::clone(&self.settings.borrow().zone);
         let routers = self.router_count();
         for adapter in pool.demand().wanted(constants::PREFETCH_RATE, routers, now) {
--- a/crates/daemon/src/router/crash_news.rs
+++ b/crates/daemon/src/router/crash_news.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, StatusCode};
 use metrics::counter;
 use plantain_core::{
-    crashes::{CRASH_LIFE, CrashReport},
+    crashes::{CRASH_TTL, CrashReport},
     direct::sharing::source::StoreSource,
     ids::Timestamp,
 };
@@ -137,7 +137,7 @@
     link: Rc<ControlLink>,
     client: HttpClient,
     started: Timestamp,
-    /// What an earlier start of this router had told; it goes on counting for [`CRASH_LIFE`].
+    /// What an earlier start of this router had told; it goes on counting for [`CRASH_TTL`].
     earlier: Option<CrashReport>,
     /// Revision of the object, once it is known.
     revision: Option<u64>,
@@ -154,7 +154,7 @@
             self.is_read = true;
         }
         let mut whole = report.clone();
-        let is_counted = clock::now().saturating_sub(self.started) < CRASH_LIFE;
+        let is_counted = clock::now().saturating_sub(self.started) < CRASH_TTL;
         if let Some(earlier) = self.earlier.as_ref().filter(|_| is_counted) {
             whole.add_earlier(earlier);
         }
--- a/crates/daemon/src/router/crashes/keeper.rs
+++ b/crates/daemon/src/router/crashes/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use plantain_core::{
-    crashes::{CRASH_LIFE, CrashLedger, CrashReport, OpenRuns},
+    crashes::{CRASH_TTL, CrashLedger, CrashReport, OpenRuns},
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::{BootId, Timestamp},
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 
 /// Pause after which a report is told again: half of the time for which others keep it.
-const RENEW_PAUSE: Duration = CRASH_LIFE;
+const RENEW_PAUSE: Duration = CRASH_TTL;
 
 /// What this router knows of crashes.
 pub(crate) struct CrashKeeper {
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -19,7 +19,7 @@
 use hyper::{HeaderMap, Method, Response, StatusCode, body::Incoming};
 use metrics::counter;
 use plantain_core::{
-    crashes::CRASH_LIFE,
+    crashes::CRASH_TTL,
     direct::{
         call::{AdapterId, CallHead},
         config::RouteRule,
@@ -231,7 +231,7 @@
     /// Sends the call until a target answers or nothing more may be tried.
     pub(crate) async fn open(&mut self) -> Opened {
         if self.is_held() {
-            return self.give_up(None, GivenUp::Held(CRASH_LIFE));
+            return self.give_up(None, GivenUp::Held(CRASH_TTL));
         }
         if let Some(pause) = self.shed() {
             return Opened::Nothing(GivenUp::NotRun(pause));
@@ -245,7 +245,7 @@
             // Targets may have ended under it since it came: in this call, or at other routers.
             if self.is_held() {
                 self.give_back_turn(choice.turn);
-                return self.give_up(last, GivenUp::Held(CRASH_LIFE));
+                return self.give_up(last, GivenUp::Held(CRASH_TTL));
             }
             if self.record.sends > 0 && !self.context.try_repeat(&self.service) {
                 self.note("repeat refused: budget spent");
