--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -2,11 +2,11 @@
 //!
 //! Pattern: a request whose run ends its target comes again under a new id, at any router, and takes target
 //! after target down with all that they have in flight. A router rarely sees more than one of these
-//! crashes, and cannot tell which of the broken calls was at fault. So each router tells which calls were
-//! at a target when it ended; a call that was at [`HOLD_CRASHES`] of them is not handed to any more.
+//! crashes, and cannot tell which of the broken calls was at fault. So each router reports which calls were
+//! at a target when it ended; a call that was at [`QUARANTINE_CRASHES`] of them is not handed to any more.
 //!
-//! Reports are whole and kept by their teller's start and number: lost, late and doubled ones cost time
-//! alone. A restarted router reads what all have told from where it is kept.
+//! Reports are whole and kept by their sender's start and number: lost, late and doubled ones cost time
+//! alone. A restarted router reads what all have reported from where it is kept.
 
 mod report;
 mod runs;
@@ -19,7 +19,7 @@
 pub use report::{
     CrashRecord, CrashReport, CrashReports, IncarnationHash, RECORD_LIMIT, REPORT_TTL,
 };
-pub use runs::{IncarnationPhase, OpenRun, OpenRuns};
+pub use runs::{IncarnationPhase, UnresolvedRun, UnresolvedRuns};
 use std::{
     cmp::Reverse,
     collections::{BTreeSet, HashMap, HashSet, VecDeque},
@@ -27,21 +27,21 @@
     time::Duration,
 };
 
-/// Targets that must have ended under a call before it is held back. An innocent call shares one crash by
+/// Targets that must have ended under a call before it is quarantined. An innocent call shares one crash by
 /// chance, and two if its caller's one retry meets the same culprit; the third is what no chance explains.
-pub const HOLD_CRASHES: usize = 3;
-/// Time for which a crash counts against a call. Callers give up on a request within a minute or so; one
-/// that comes by the hour costs three targets each time, and a call held by mistake is free after this.
+pub const QUARANTINE_CRASHES: usize = 3;
+/// Time for which a crash counts against a call. Callers give up on a request within a minute or so; one that
+/// comes by the hour costs three targets each time, and a call quarantined by mistake is free after this.
 pub const CRASH_TTL: Duration = Duration::from_mins(10);
 
 /// Time for which a run that came to its end speaks for its call against crashes that show only afterwards:
-/// as long as a crash may take to show, and the news of it to come.
+/// as long as a crash may take to show, and its report to come.
 const SURVIVAL_TTL: Duration = Duration::from_secs(10);
 /// Calls whose runs came to their ends lately, that a router remembers: some 100 a second. Bounds memory at
 /// about 50 kB.
 const SURVIVOR_LIMIT: usize = 1_024;
 
-/// What a router knows of crashes, its own and those that others told.
+/// What a router knows of crashes, its own and those that others reported.
 #[derive(Debug)]
 pub struct CrashLedger {
     own: CrashReport,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What this router tells the others.
+    /// What this router reports to the others.
     pub fn own_report(&self) -> &CrashReport {
         &self.own
     }
@@ -124,8 +124,8 @@
         true
     }
 
-    /// Has those of these crashes count no more whose calls came to their ends lately. A crash shows, and
-    /// is told, up to seconds after it; a call that is sent many times a second has survived by then.
+    /// Has those of these crashes count no more whose calls came to their ends lately. A crash shows, and is
+    /// reported, up to seconds after it; a call that is sent many times a second has survived by then.
     fn clear_survivors(&mut self, records: &[CrashRecord], now: Timestamp) {
         for record in records {
             let survived = self.survivors.get(&record.call);
@@ -144,7 +144,7 @@
         self.own.sequence += 1;
     }
 
-    /// Takes what another router tells; returns whether it is news. The own report changes too if calls are
+    /// Takes another router's report; returns whether it is new. The own report changes too if calls are
     /// among it that came to their ends here lately.
     pub fn take_report(&mut self, report: &Arc<CrashReport>, now: Timestamp) -> bool {
         let is_news = report.boot != self.own.boot && self.told.take(report, now);
@@ -154,7 +154,7 @@
         is_news
     }
 
-    /// Has the own report told anew, so that the others go on counting this router.
+    /// Has the own report sent anew, so that the others go on counting this router.
     pub fn renew(&mut self) {
         self.own.sequence += 1;
     }
@@ -186,19 +186,19 @@
         self.counted(call).len()
     }
 
-    /// Whether a call must not be handed to any target: enough have ended under it, of which no other call
-    /// is the likelier cause.
-    pub fn is_held(&self, call: CallFingerprint) -> bool {
+    /// Whether a call is quarantined and must not be handed to any target: enough have ended under it, of
+    /// which no other call is the likelier cause.
+    pub fn is_quarantined(&self, call: CallFingerprint) -> bool {
         if self.is_empty() {
             return false;
         }
         let targets = self.counted(call);
-        if targets.len() < HOLD_CRASHES {
+        if targets.len() < QUARANTINE_CRASHES {
             return false;
         }
         let unexplained =
             targets.iter().filter(|target| !self.is_explained(**target, targets.len()));
-        unexplained.count() >= HOLD_CRASHES
+        unexplained.count() >= QUARANTINE_CRASHES
     }
 
     /// Whether some call was at a target when it ended that has been at more ends than `crashes`. A call
@@ -214,14 +214,15 @@
         })
     }
 
-    /// All calls that must not be handed to any target.
-    pub fn held_calls(&self) -> HashSet<CallFingerprint> {
+    /// All quarantined calls.
+    pub fn quarantined_calls(&self) -> HashSet<CallFingerprint> {
         let mut targets: HashMap<CallFingerprint, BTreeSet<IncarnationHash>> = HashMap::new();
         for record in self.reports().flat_map(|report| &report.crashes) {
             targets.entry(record.call).or_default().insert(record.target);
         }
-        let suspects = targets.into_iter().filter(|(_, targets)| targets.len() >= HOLD_CRASHES);
-        suspects.map(|(call, _)| call).filter(|call| self.is_held(*call)).collect()
+        let suspects =
+            targets.into_iter().filter(|(_, targets)| targets.len() >= QUARANTINE_CRASHES);
+        suspects.map(|(call, _)| call).filter(|call| self.is_quarantined(*call)).collect()
     }
 
     /// This router's report and those of all others.
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -1,4 +1,4 @@
-//! What routers and agents tell of crashes: whole reports, kept by their teller's start and number.
+//! What routers and agents report of crashes: whole reports, kept by their sender's start and number.
 
 use super::CRASH_TTL;
 use crate::{
@@ -19,10 +19,10 @@
 /// Crashes, and survivals, that a report holds: the calls that one router has at some ten targets which
 /// end together. Bounds a report at about 13 kB on the wire.
 pub const RECORD_LIMIT: usize = 256;
-/// Records of all reports that a router keeps: 1 MB of memory. Far more than are told within
+/// Records of all reports that a router keeps: 1 MB of memory. Far more than are reported within
 /// [`CRASH_TTL`] unless the whole fleet's targets end again and again.
 const LEDGER_LIMIT: usize = 32_768;
-/// Time after which a report that was not renewed is dropped: its teller is gone, or has nothing to tell,
+/// Time after which a report that was not renewed is dropped: its sender is gone, or has nothing to report,
 /// for it renews its report when its crashes no longer count.
 pub const REPORT_TTL: Duration = CRASH_TTL.saturating_mul(2);
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// All that one router or agent tells of crashes.
+/// All that one router or agent reports of crashes.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashReport {
     /// Name of the router or agent.
@@ -103,7 +103,7 @@
 }
 
 impl CrashReport {
-    /// Adds what an earlier start of the same router had told.
+    /// Adds what an earlier start of the same router had reported.
     pub fn add_earlier(&mut self, earlier: &Self) {
         add_missing(&mut self.crashes, &earlier.crashes);
         add_missing(&mut self.survivals, &earlier.survivals);
@@ -114,7 +114,7 @@
         (self.sequence, self.size()) > (known.sequence, known.size())
     }
 
-    /// Whether it tells nothing but that its teller is there.
+    /// Whether it reports nothing but that its sender is there.
     pub fn is_empty(&self) -> bool {
         self.size() == 0
     }
@@ -145,7 +145,7 @@
 }
 
 impl CrashReports {
-    /// Takes a report; returns whether it is news.
+    /// Takes a report; returns whether it is new.
     pub fn take(&mut self, report: &Arc<CrashReport>, now: Timestamp) -> bool {
         let known = self.told.get(&report.boot);
         if known.is_some_and(|known| !report.is_newer_than(&known.report)) {
--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -8,7 +8,7 @@
 
 /// Time for which a run whose end is unknown may prove to have been under way when its target ended: a
 /// target that falls silent leaves the list after three missed heartbeats, some 4 s.
-const OPEN_RUN_TTL: Duration = Duration::from_secs(6);
+const UNRESOLVED_RUN_TTL: Duration = Duration::from_secs(6);
 /// Runs with an unknown end that a router remembers; bounds memory at about 30 kB.
 const OPEN_RUN_LIMIT: usize = 512;
 /// Targets whose last answers a router remembers: more than a fleet has.
@@ -29,7 +29,7 @@
 
 /// A run whose end is not known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OpenRun {
+pub struct UnresolvedRun {
     /// The call.
     pub call: CallFingerprint,
     /// When it was sent.
@@ -41,13 +41,13 @@
 #[derive(Debug)]
 struct LeftRun {
     target: TargetIncarnation,
-    run: OpenRun,
+    run: UnresolvedRun,
     left: Timestamp,
 }
 
 /// Runs of this router's calls whose ends are not known, until it shows whether their targets have ended.
 #[derive(Debug, Default)]
-pub struct OpenRuns {
+pub struct UnresolvedRuns {
     runs: VecDeque<LeftRun>,
     /// Incarnations that have ended, and when.
     ended: VecDeque<(TargetIncarnation, Timestamp)>,
@@ -55,11 +55,11 @@
     answers: HashMap<TargetIncarnation, Timestamp>,
 }
 
-impl OpenRuns {
+impl UnresolvedRuns {
     /// A target answered: it lives, whatever it broke off before.
     pub fn note_answer(&mut self, target: &TargetIncarnation, now: Timestamp) {
         if self.answers.len() >= ANSWER_LIMIT {
-            self.answers.retain(|_, at| now.saturating_sub(*at) < OPEN_RUN_TTL);
+            self.answers.retain(|_, at| now.saturating_sub(*at) < UNRESOLVED_RUN_TTL);
         }
         if let Some(at) = self.answers.get_mut(target) {
             *at = now;
@@ -68,12 +68,12 @@
         }
     }
 
-    /// A call left a target without word of how its run ended. Returns when the target ended, if that is
+    /// A call left a target without a sign of how its run ended. Returns when the target ended, if that is
     /// known.
     pub fn add(
         &mut self,
         target: &TargetIncarnation,
-        run: OpenRun,
+        run: UnresolvedRun,
         now: Timestamp,
     ) -> Option<Timestamp> {
         let ended = self.ended.iter().find(|(incarnation, _)| incarnation == target);
@@ -118,7 +118,7 @@
         phase: impl Fn(&TargetIncarnation) -> IncarnationPhase,
         now: Timestamp,
     ) -> Vec<TargetIncarnation> {
-        self.runs.retain(|run| now.saturating_sub(run.left) < OPEN_RUN_TTL);
+        self.runs.retain(|run| now.saturating_sub(run.left) < UNRESOLVED_RUN_TTL);
         let incarnations: BTreeSet<TargetIncarnation> =
             self.runs.iter().map(|run| run.target.clone()).collect();
         let mut ended = Vec::new();
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -3,8 +3,8 @@
 
 use plantain_core::{
     crashes::{
-        CRASH_TTL, CrashLedger, CrashReport, HOLD_CRASHES, IncarnationPhase, OpenRun, OpenRuns,
-        RECORD_LIMIT, REPORT_TTL,
+        CRASH_TTL, CrashLedger, CrashReport, IncarnationPhase, QUARANTINE_CRASHES, RECORD_LIMIT,
+        REPORT_TTL, UnresolvedRun, UnresolvedRuns,
     },
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
@@ -47,14 +47,14 @@
     let routers = witnesses(330);
     for first in [0, 117, 327] {
         let mut newcomer = ledger(9_999);
-        for (heard, router) in routers[first..first + HOLD_CRASHES].iter().rev().enumerate() {
-            assert!(!newcomer.is_held(FATAL), "held after {heard} crashes");
+        for (heard, router) in routers[first..first + QUARANTINE_CRASHES].iter().rev().enumerate() {
+            assert!(!newcomer.is_quarantined(FATAL), "held after {heard} crashes");
             assert!(newcomer.take_report(&report(router), NOW));
             assert!(!newcomer.take_report(&report(router), NOW), "the same news twice");
         }
-        assert!(newcomer.is_held(FATAL));
+        assert!(newcomer.is_quarantined(FATAL));
         for innocent in 0..330 {
-            assert!(!newcomer.is_held(1_000 + innocent));
+            assert!(!newcomer.is_quarantined(1_000 + innocent));
         }
     }
 }
@@ -77,7 +77,7 @@
 fn late_news_undoes_nothing() {
     let mut teller = ledger(1);
     let mut reports = Vec::new();
-    for number in 0..HOLD_CRASHES {
+    for number in 0..QUARANTINE_CRASHES {
         teller.record_crash(&incarnation(number), &[FATAL], NOW);
         reports.push(report(&teller));
     }
@@ -85,7 +85,7 @@
     for report in reports.iter().rev() {
         hearer.take_report(report, NOW);
     }
-    assert!(hearer.is_held(FATAL));
+    assert!(hearer.is_quarantined(FATAL));
 }
 
 /// A router that has seen two of three crashes is killed and starts again. What it had told is added to what
@@ -101,7 +101,7 @@
     told.add_earlier(before.own_report());
     let mut hearer = ledger(3);
     hearer.take_report(&Arc::new(told), NOW);
-    assert!(hearer.is_held(FATAL));
+    assert!(hearer.is_quarantined(FATAL));
 }
 
 /// Callers poll the same path with the same empty body, so that their calls look like one request. Targets
@@ -119,7 +119,7 @@
         assert!(second.record_survival(poll, now), "no crash left after round {number}");
         first.take_report(&report(&second), now);
         for router in [&first, &second] {
-            assert!(!router.is_held(poll));
+            assert!(!router.is_quarantined(poll));
             assert_eq!(router.crashes_under(poll), 0, "after round {number}");
         }
     }
@@ -136,25 +136,25 @@
     let mut teller = ledger(1);
     let mut hearer = ledger(2);
     hearer.record_survival(poll, NOW);
-    for number in 0..HOLD_CRASHES {
+    for number in 0..QUARANTINE_CRASHES {
         teller.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
     }
-    assert!(teller.is_held(poll), "the teller itself has no poll that ended");
+    assert!(teller.is_quarantined(poll), "the teller itself has no poll that ended");
     hearer.take_report(&report(&teller), NOW + Duration::from_secs(3));
-    assert!(!hearer.is_held(poll));
+    assert!(!hearer.is_quarantined(poll));
     teller.take_report(&report(&hearer), NOW + Duration::from_secs(3));
-    assert!(!teller.is_held(poll));
+    assert!(!teller.is_quarantined(poll));
 
     let mut alone = ledger(3);
     alone.record_survival(poll, NOW);
-    for number in 0..HOLD_CRASHES {
+    for number in 0..QUARANTINE_CRASHES {
         alone.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
     }
-    assert!(!alone.is_held(poll));
-    for number in HOLD_CRASHES..2 * HOLD_CRASHES {
+    assert!(!alone.is_quarantined(poll));
+    for number in QUARANTINE_CRASHES..2 * QUARANTINE_CRASHES {
         alone.record_crash(&incarnation(number), &[poll], NOW + Duration::from_mins(1));
     }
-    assert!(alone.is_held(poll), "a run that ended a minute before proves nothing");
+    assert!(alone.is_quarantined(poll), "a run that ended a minute before proves nothing");
 }
 
 /// A call was held back by mistake. It is free again once its crashes are too old, at the router that saw
@@ -162,7 +162,7 @@
 #[test]
 fn crashes_grow_old() {
     let mut teller = ledger(1);
-    for number in 0..HOLD_CRASHES {
+    for number in 0..QUARANTINE_CRASHES {
         teller.record_crash(&incarnation(number), &[FATAL], NOW);
     }
     let mut hearer = ledger(2);
@@ -170,13 +170,13 @@
     for router in [&mut hearer, &mut lonely] {
         router.take_report(&report(&teller), NOW);
         assert!(!router.expire(NOW + CRASH_TTL), "it has nothing of its own to tell");
-        assert!(router.is_held(FATAL));
+        assert!(router.is_quarantined(FATAL));
     }
     assert!(!teller.expire(NOW + CRASH_TTL / 2));
     assert!(teller.expire(NOW + CRASH_TTL));
-    assert!(!teller.is_held(FATAL));
+    assert!(!teller.is_quarantined(FATAL));
     hearer.take_report(&report(&teller), NOW + CRASH_TTL);
-    assert!(!hearer.is_held(FATAL));
+    assert!(!hearer.is_quarantined(FATAL));
     lonely.expire(NOW + REPORT_TTL);
     assert!(lonely.is_empty());
 }
@@ -187,7 +187,7 @@
 fn a_flood_of_innocent_calls_hides_no_culprit() {
     let mut router = ledger(1);
     let mut next = 1_000;
-    for number in 0..HOLD_CRASHES {
+    for number in 0..QUARANTINE_CRASHES {
         let mut calls: Vec<CallFingerprint> = (next..next + 300).collect();
         next += 300;
         calls.insert(150, FATAL);
@@ -196,7 +196,7 @@
         router.record_crash(&incarnation(number), &calls, NOW);
         assert!(router.own_report().crashes.len() <= RECORD_LIMIT);
     }
-    assert!(router.is_held(FATAL));
+    assert!(router.is_quarantined(FATAL));
 }
 
 /// Reports of very many starts of routers come, as of a fleet that restarts all the time for a day.
@@ -238,8 +238,8 @@
         PhaseCase { phase: IncarnationPhase::Leaving, after: second, ends: false, remains: false },
     ];
     for PhaseCase { phase, after, ends, remains } in cases {
-        let mut runs = OpenRuns::default();
-        let run = OpenRun { call: FATAL, sent: NOW, is_broken: false };
+        let mut runs = UnresolvedRuns::default();
+        let run = UnresolvedRun { call: FATAL, sent: NOW, is_broken: false };
         assert_eq!(runs.add(&incarnation(1), run, NOW), None);
         let ended = runs.look(|_| phase, NOW + after);
         assert_eq!(!ended.is_empty(), ends, "{phase:?} after {after:?}");
@@ -272,9 +272,10 @@
         RunCase { call: 5, sent_ms: 900, left_ms: 950, is_broken: false, is_suspect: false },
     ];
     let at = |ms: u64| NOW + Duration::from_millis(ms);
-    let mut runs = OpenRuns::default();
+    let mut runs = UnresolvedRuns::default();
     for case in &cases {
-        let run = OpenRun { call: case.call, sent: at(case.sent_ms), is_broken: case.is_broken };
+        let run =
+            UnresolvedRun { call: case.call, sent: at(case.sent_ms), is_broken: case.is_broken };
         assert_eq!(runs.add(&incarnation(1), run, at(case.left_ms)), None);
     }
     runs.note_answer(&incarnation(1), at(500));
@@ -294,15 +295,15 @@
     for number in 0..5 {
         router.record_crash(&incarnation(number), &[FATAL], NOW);
     }
-    for number in 0..HOLD_CRASHES {
+    for number in 0..QUARANTINE_CRASHES {
         router.record_crash(&incarnation(number), &[companion], NOW);
     }
-    assert!(router.is_held(FATAL));
-    assert!(!router.is_held(companion));
-    for number in 10..10 + HOLD_CRASHES {
+    assert!(router.is_quarantined(FATAL));
+    assert!(!router.is_quarantined(companion));
+    for number in 10..10 + QUARANTINE_CRASHES {
         router.record_crash(&incarnation(number), &[companion], NOW);
     }
-    assert!(router.is_held(companion));
+    assert!(router.is_quarantined(companion));
 }
 
 quickcheck! {
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -164,7 +164,7 @@
 /// An engine crashed and started again at its address; the list still shows the life before. Its host's
 /// loader names the new life, so nothing is sent to the old one, to be turned away.
 #[test]
-fn a_loader_that_names_another_life_ends_the_old_one() {
+fn a_loader_that_names_another_incarnation_ends_the_old_one() {
     let mut pool = pool();
     let host = pool.target(&"e2".into()).expect("a target").entry.address.ip();
     pool.take_report(host, report("e9", 1, &[]), ms(0));
@@ -177,7 +177,7 @@
     TargetIncarnation { id: id.into(), started: Some(started) }
 }
 
-fn listed_life(id: &str, started: u64) -> Arc<TargetEntry> {
+fn listed_incarnation(id: &str, started: u64) -> Arc<TargetEntry> {
     Arc::new(TargetEntry { incarnation: incarnation(id, started), ..target(id, ENGINES, "b", 2) })
 }
 
@@ -185,15 +185,15 @@
 /// must not count for the next one: it would seem busy and failing for ever, and to hold adapters that
 /// are gone.
 #[test]
-fn a_life_under_the_same_id_begins_anew() {
+fn an_incarnation_under_the_same_id_begins_anew() {
     let mut pool = pool();
     let (first, second) = (incarnation("e2", 9_000), incarnation("e2", 4_000));
-    pool.replace_list(vec![listed_life("e2", 9_000)], ms(0));
+    pool.replace_list(vec![listed_incarnation("e2", 9_000)], ms(0));
     let held = LoaderReport { incarnation: first.clone(), ..report("e2", 1, &[("h7", 1)]) };
     take_report(&mut pool, held, ms(10));
     pool.call_started(&first, Some(&adapter("h7")), 600);
     pool.record_outcome(&first, CallOutcome::Failed, ms(20));
-    pool.apply_changes(&[ListChange::Put(listed_life("e2", 4_000))], ms(30));
+    pool.apply_changes(&[ListChange::Put(listed_incarnation("e2", 4_000))], ms(30));
     assert!(pool.target(&first).is_none());
     let target = pool.target(&second).expect("the later life");
     assert_eq!((target.in_flight, target.unread_tokens), (0, 0));
@@ -207,14 +207,14 @@
 /// The list lags: it shows an engine's life before while the loader beside it has met the next one under
 /// the same id. Calls for adapters of the earlier life would all be turned away.
 #[test]
-fn a_loader_that_names_a_later_life_under_the_same_id_ends_the_old_one() {
+fn a_loader_that_names_a_later_incarnation_under_the_same_id_ends_the_old_one() {
     let mut pool = pool();
-    pool.replace_list(vec![listed_life("e2", 1_000)], ms(0));
-    let host = listed_life("e2", 1_000).address.ip();
+    pool.replace_list(vec![listed_incarnation("e2", 1_000)], ms(0));
+    let host = listed_incarnation("e2", 1_000).address.ip();
     let report = LoaderReport { incarnation: incarnation("e2", 2_000), ..report("e2", 1, &[]) };
     assert!(!pool.take_report(host, report.clone(), ms(10)));
     assert!(pool.target(&incarnation("e2", 1_000)).expect("a target").has_ended());
-    pool.apply_changes(&[ListChange::Put(listed_life("e2", 2_000))], ms(20));
+    pool.apply_changes(&[ListChange::Put(listed_incarnation("e2", 2_000))], ms(20));
     assert!(!pool.target(&incarnation("e2", 2_000)).expect("a target").has_ended());
     assert!(pool.take_report(host, report, ms(30)));
 }
--- a/crates/core/tests/core/direct/target_statement.rs
+++ b/crates/core/tests/core/direct/target_statement.rs
@@ -172,7 +172,7 @@
 
 /// Guards against what a target has said being undone by an older list, a report, a lapse of its entry or an outage.
 #[test]
-fn what_a_life_has_said_holds_whatever_comes_late() {
+fn what_an_incarnation_has_advertised_holds_whatever_comes_late() {
     let mut chosen = 0;
     for seed in 0..PLAYS {
         let mut play = StatementPlay::new(seed);
@@ -188,7 +188,7 @@
 /// Guards against an older list that shows an earlier life of a target, and so makes a router forget what the present one
 /// has stated.
 #[test]
-fn an_older_list_does_not_end_what_a_later_life_has_stated() {
+fn an_older_list_does_not_end_what_a_later_incarnation_has_advertised() {
     let entry = |started| {
         let incarnation = TargetIncarnation { id: "d1".into(), started: Some(started) };
         Arc::new(TargetEntry { incarnation, ..target("d1", DESK, "a", 4) })
--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -5,7 +5,7 @@
 
 use crate::watch::{note_failure, platform_backoff};
 use plantain_core::{
-    crashes::{CrashLedger, CrashReport, OpenRun, OpenRuns},
+    crashes::{CrashLedger, CrashReport, UnresolvedRun, UnresolvedRuns},
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::Timestamp,
@@ -44,7 +44,7 @@
     logger: Logger,
     began: Instant,
     ledger: RefCell<CrashLedger>,
-    runs: RefCell<OpenRuns>,
+    runs: RefCell<UnresolvedRuns>,
     /// Ends of the target so far; each is another life.
     ends: Cell<u64>,
     is_probing: Cell<bool>,
@@ -82,13 +82,13 @@
     }
 
     /// A run that was sent so long ago broke off, or was cancelled: looks whether the target ends.
-    pub(super) fn note_open_run(
+    pub(super) fn note_unresolved_run(
         self: &Rc<Self>,
         call: CallFingerprint,
         age: Duration,
         is_broken: bool,
     ) {
-        let run = OpenRun { call, sent: self.now().saturating_sub(age), is_broken };
+        let run = UnresolvedRun { call, sent: self.now().saturating_sub(age), is_broken };
         self.runs.borrow_mut().add(&self.incarnation(), run, self.now());
         if !self.is_probing.replace(true) {
             let witness = Rc::clone(self);
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -159,8 +159,8 @@
     let call = request_fingerprint(&offer.work, &offer.head, &offer.body);
     match &end {
         RunEnd::Answered => context.crashes.note_survival(call),
-        RunEnd::Failed(_) => context.crashes.note_open_run(call, started.elapsed(), true),
-        RunEnd::Cancelled => context.crashes.note_open_run(call, started.elapsed(), false),
+        RunEnd::Failed(_) => context.crashes.note_unresolved_run(call, started.elapsed(), true),
+        RunEnd::Cancelled => context.crashes.note_unresolved_run(call, started.elapsed(), false),
         RunEnd::Unsent | RunEnd::AdapterMissing => {}
     }
     match end {
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -22,7 +22,7 @@
     telemetry,
 };
 use callers::{CallerContext, CallerRings};
-use crashes::HeldCalls;
+use crashes::QuarantinedCalls;
 use eyre::{Result, WrapErr};
 use plantain_core::config::ConfigSnapshot;
 use plantain_net::server;
@@ -50,7 +50,7 @@
         let (offers, offer_ring) = mpsc::channel(constants::RING_DEPTH);
         let (config_sender, config) = watch::channel(Arc::new(ConfigSnapshot::empty()));
         let (ended_sender, ended) = watch::channel(false);
-        let (held_sender, held) = watch::channel(HeldCalls::default());
+        let (held_sender, quarantined) = watch::channel(QuarantinedCalls::default());
 
         let policy = settings.clone();
         duty::start("decisions", move || decisions::run(policy, decision_ring))?;
@@ -67,7 +67,7 @@
         let signals = Arc::new(EntrySignals::default());
         let (own, ring, log) = (settings.clone(), decisions.clone(), logger.clone());
         let marks = Arc::clone(&signals);
-        let senders = PlatformSenders { config: config_sender, held: held_sender };
+        let senders = PlatformSenders { config: config_sender, quarantined: held_sender };
         duty::start("platform", move || platform::run(own, senders, ring, marks, log))?;
         let status = EntryStatus::new(
             settings.clone(),
@@ -85,7 +85,8 @@
 
         info!(logger, "entry listens"; "step" => "start", "listen" => %settings.listen);
         let rings = CallerRings { decisions, offers, records };
-        let context = CallerContext::new(settings, config, held, rings, status, logger.clone());
+        let context =
+            CallerContext::new(settings, config, quarantined, rings, status, logger.clone());
         callers::run(callers, context, stopping).await;
         info!(logger, "all requests ended"; "step" => "stop");
         ended_sender.send_replace(true);
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -1,7 +1,7 @@
 //! The callers duty of an entry: HTTP in, HTTP out.
 
 use super::{
-    crashes::HeldCalls,
+    crashes::QuarantinedCalls,
     decisions::DecisionSender,
     exchange::{Exchange, ExchangeEnd},
     idempotency::{self, RecordSender},
@@ -77,7 +77,7 @@
     pub(crate) settings: Arc<EntrySettings>,
     pub(crate) config: watch::Receiver<Arc<ConfigSnapshot>>,
     /// Requests that must not be offered.
-    pub(crate) held: watch::Receiver<HeldCalls>,
+    pub(crate) quarantined: watch::Receiver<QuarantinedCalls>,
     pub(crate) decisions: DecisionSender,
     pub(crate) offers: OfferSender,
     pub(crate) logger: Logger,
@@ -93,7 +93,7 @@
     pub fn new(
         settings: Arc<EntrySettings>,
         config: watch::Receiver<Arc<ConfigSnapshot>>,
-        held: watch::Receiver<HeldCalls>,
+        quarantined: watch::Receiver<QuarantinedCalls>,
         rings: CallerRings,
         status: EntryStatus,
         logger: Logger,
@@ -106,7 +106,7 @@
         Self {
             settings,
             config,
-            held,
+            quarantined,
             decisions,
             offers,
             logger,
--- a/crates/daemon/src/entry/crashes.rs
+++ b/crates/daemon/src/entry/crashes.rs
@@ -19,7 +19,7 @@
 };
 
 /// Requests that must not be offered.
-pub(crate) type HeldCalls = Arc<HashSet<CallFingerprint>>;
+pub(crate) type QuarantinedCalls = Arc<HashSet<CallFingerprint>>;
 
 /// Longest pause between looks whether crashes have become too old to count.
 const AGING_PAUSE: Duration = Duration::from_secs(30);
@@ -40,7 +40,11 @@
 
 /// Follows the agents' objects for as long as the process lives, and passes on which requests are held
 /// back.
-pub(super) async fn run(platform: PlatformClient, held: watch::Sender<HeldCalls>, logger: Logger) {
+pub(super) async fn run(
+    platform: PlatformClient,
+    quarantined: watch::Sender<QuarantinedCalls>,
+    logger: Logger,
+) {
     let began = Instant::now();
     // An entry sees no target itself, and tells nothing.
     let mut ledger = CrashLedger::new("".into(), rand::random());
@@ -53,11 +57,11 @@
             }
         }
         ledger.expire(began.elapsed());
-        let calls = ledger.held_calls();
-        if calls != **held.borrow() {
+        let calls = ledger.quarantined_calls();
+        if calls != **quarantined.borrow() {
             info!(logger, "requests held back"; "step" => "crashes", "count" => calls.len(),
                 "fingerprints" => ?calls.iter().map(|call| format!("{call:032x}")).collect::<Vec<_>>());
-            held.send_replace(Arc::new(calls));
+            quarantined.send_replace(Arc::new(calls));
         }
     }
 }
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -122,9 +122,10 @@
                 let late = NotRunProof::never_offered(RefusalReason::TooLate, None);
                 return ExchangeEnd::Error(self.give_up(&last.unwrap_or(late)));
             }
-            if self.is_held() {
-                let held = NotRunProof::never_offered(RefusalReason::HeldBack, Some(CRASH_TTL));
-                return ExchangeEnd::Error(self.give_up(&held));
+            if self.is_quarantined() {
+                let quarantined =
+                    NotRunProof::never_offered(RefusalReason::HeldBack, Some(CRASH_TTL));
+                return ExchangeEnd::Error(self.give_up(&quarantined));
             }
             let choice = match self.choose().await {
                 Ok(choice) => choice,
@@ -163,13 +164,13 @@
     }
 
     /// Whether the request must not be offered, since too many targets have ended that ran it.
-    fn is_held(&self) -> bool {
-        let is_held = self.context.held.borrow().contains(&self.fingerprint);
-        if is_held {
+    fn is_quarantined(&self) -> bool {
+        let is_quarantined = self.context.quarantined.borrow().contains(&self.fingerprint);
+        if is_quarantined {
             warn!(self.logger, "request held back"; "step" => "crashes",
                 "fingerprint" => format!("{:032x}", self.fingerprint));
         }
-        is_held
+        is_quarantined
     }
 
     /// A fresh exchange knows nothing of this one's offers. If one of them may have run, a refusal
--- a/crates/daemon/src/entry/platform.rs
+++ b/crates/daemon/src/entry/platform.rs
@@ -1,7 +1,7 @@
 //! The platform duty of an entry: follows the configuration, the slots and the host list.
 
 use super::{
-    crashes::{self, HeldCalls},
+    crashes::{self, QuarantinedCalls},
     decisions::{DecisionCommand, DecisionSender},
     join,
     status::EntrySignals,
@@ -52,7 +52,7 @@
     /// Configurations.
     pub config: ConfigSender,
     /// Requests that must not be offered.
-    pub(crate) held: watch::Sender<HeldCalls>,
+    pub(crate) quarantined: watch::Sender<QuarantinedCalls>,
 }
 
 /// Runs the duty's actors for as long as the process lives.
@@ -92,7 +92,7 @@
             return;
         }
     };
-    spawn_local(crashes::run(platform.clone(), senders.held, logger.clone()));
+    spawn_local(crashes::run(platform.clone(), senders.quarantined, logger.clone()));
     spawn_local(announce(Arc::clone(&settings), platform.clone(), logger.clone()));
     spawn_local(join::join_from_peers(settings, fetcher.clone(), targets, signals.clone(), logger));
     loop {
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -3,7 +3,7 @@
 use super::{super::constants, RouterContext};
 use crate::clock;
 use plantain_core::{
-    crashes::OpenRun,
+    crashes::UnresolvedRun,
     direct::{call::AdapterId, membership::TargetIncarnation},
     fingerprint::CallFingerprint,
     ids::{AdapterVersion, Timestamp},
@@ -117,8 +117,8 @@
         self.set_overdue(false);
         if self.end != RunEnd::Settled {
             let is_broken = self.end == RunEnd::Broken;
-            let run = OpenRun { call: self.call, sent: self.sent, is_broken };
-            self.context.note_open_run(&self.incarnation, run);
+            let run = UnresolvedRun { call: self.call, sent: self.sent, is_broken };
+            self.context.note_unresolved_run(&self.incarnation, run);
         }
         {
             let mut pool = self.context.pool.borrow_mut();
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use metrics::counter;
 use plantain_core::{
-    crashes::{CrashReport, IncarnationPhase, OpenRun},
+    crashes::{CrashReport, IncarnationPhase, UnresolvedRun},
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::Timestamp,
@@ -35,7 +35,11 @@
     }
 
     /// A call left a target without word of how its run ended.
-    pub(crate) fn note_open_run(self: &Rc<Self>, target: &TargetIncarnation, run: OpenRun) {
+    pub(crate) fn note_unresolved_run(
+        self: &Rc<Self>,
+        target: &TargetIncarnation,
+        run: UnresolvedRun,
+    ) {
         let ended = self.crashes.runs.borrow_mut().add(target, run, clock::now());
         match ended {
             Some(at) if run.sent <= at => self.record_crash(target, &[run.call], "ended before"),
@@ -112,8 +116,8 @@
 
     /// Writes a line for each call that is held back from now on, or no longer.
     fn log_held(&self) {
-        let calls = self.crashes.ledger.borrow().held_calls();
-        let before = self.crashes.held.replace(calls.clone());
+        let calls = self.crashes.ledger.borrow().quarantined_calls();
+        let before = self.crashes.quarantined.replace(calls.clone());
         for call in calls.difference(&before) {
             warn!(self.logger, "call held back from now on"; "step" => "crashes",
                 "fingerprint" => format!("{call:032x}"),
--- a/crates/daemon/src/router/crashes/keeper.rs
+++ b/crates/daemon/src/router/crashes/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use plantain_core::{
-    crashes::{CRASH_TTL, CrashLedger, CrashReport, OpenRuns},
+    crashes::{CRASH_TTL, CrashLedger, CrashReport, UnresolvedRuns},
     direct::membership::TargetIncarnation,
     fingerprint::CallFingerprint,
     ids::{BootId, Timestamp},
@@ -21,11 +21,11 @@
 /// What this router knows of crashes.
 pub(crate) struct CrashKeeper {
     pub(super) ledger: RefCell<CrashLedger>,
-    pub(super) runs: RefCell<OpenRuns>,
+    pub(super) runs: RefCell<UnresolvedRuns>,
     /// Targets to which a connection is being tried.
     pub(super) probed: RefCell<HashSet<TargetIncarnation>>,
     /// Calls that are held back, as far as was logged.
-    pub(super) held: RefCell<HashSet<CallFingerprint>>,
+    pub(super) quarantined: RefCell<HashSet<CallFingerprint>>,
     /// When the report was last told.
     told: Cell<Timestamp>,
     /// What the control thread tells the others.
@@ -41,7 +41,7 @@
             ledger: RefCell::new(ledger),
             runs: RefCell::default(),
             probed: RefCell::default(),
-            held: RefCell::default(),
+            quarantined: RefCell::default(),
             told: Cell::new(clock::now()),
             news,
         }
@@ -55,7 +55,7 @@
     /// Targets that ended under a call, if these are too many to hand it to another one.
     pub(crate) fn held_crashes(&self, call: CallFingerprint) -> Option<usize> {
         let ledger = self.ledger.borrow();
-        ledger.is_held(call).then(|| ledger.crashes_under(call))
+        ledger.is_quarantined(call).then(|| ledger.crashes_under(call))
     }
 
     /// Takes what another router tells, and tells what this one knows better; returns whether it was news.
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -230,7 +230,7 @@
 
     /// Sends the call until a target answers or nothing more may be tried.
     pub(crate) async fn open(&mut self) -> Opened {
-        if self.is_held() {
+        if self.is_quarantined() {
             return self.give_up(None, GivenUp::Held(CRASH_TTL));
         }
         if let Some(pause) = self.shed() {
@@ -243,7 +243,7 @@
                 Err(pause) => return self.give_up(last, GivenUp::NotRun(pause)),
             };
             // Targets may have ended under it since it came: in this call, or at other routers.
-            if self.is_held() {
+            if self.is_quarantined() {
                 self.give_back_turn(choice.turn);
                 return self.give_up(last, GivenUp::Held(CRASH_TTL));
             }
@@ -277,7 +277,7 @@
     }
 
     /// Whether the call must not go to any target, since too many have ended that ran it.
-    fn is_held(&mut self) -> bool {
+    fn is_quarantined(&mut self) -> bool {
         let Some(crashes) = self.context.crashes.held_crashes(self.record.fingerprint) else {
             return false;
         };
