--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -10,7 +10,7 @@
 
 use super::{
     LimitTag,
-    messages::{LimitGrant, MeterTag, UsageGrant, UsageReport, UsageWish},
+    messages::{LimitGrant, MeterTag, UsageGrant, UsageReport, UsageRequest},
     meters::{MeterRegister, first_meter, report_pause, report_ttl},
     terms::{FleetSize, LimitRule, LimitShares, RETURN_LIMIT, UsageCost, UsageLimit},
 };
@@ -304,8 +304,8 @@
             })
             .collect();
         for (meter, target, enrolment, is_due) in links {
-            let wishes = self.wishes(meter, enrolment, now);
-            if wishes.is_empty() && !is_due {
+            let requests = self.requests(meter, enrolment, now);
+            if requests.is_empty() && !is_due {
                 continue;
             }
             self.sequence += 1;
@@ -320,7 +320,7 @@
                 reachable: self.meters.reachable().to_vec(),
                 routers: u16::try_from(self.fleet.known).unwrap_or(u16::MAX),
                 config: self.config,
-                wishes,
+                requests,
                 limit_updates: limit_updates.to_vec(),
             };
             reports.push((target, report));
@@ -329,10 +329,10 @@
     }
 
     /// What is to be asked of a meter now, for the report that is sent next.
-    fn wishes(&mut self, meter: MeterTag, enrolment: u64, now: Timestamp) -> Vec<UsageWish> {
+    fn requests(&mut self, meter: MeterTag, enrolment: u64, now: Timestamp) -> Vec<UsageRequest> {
         let sequence = self.sequence + 1;
         let lived = now.saturating_sub(self.started);
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         for (tag, account) in &mut self.accounts {
             if account.meter != Some(meter) {
                 continue;
@@ -353,7 +353,7 @@
             account.wanted = account.granted.map_or(0, |granted| granted + missing as u64);
             account.asked = Some((sequence, now));
             account.waiting.note_asked(sequence);
-            wishes.push(UsageWish {
+            requests.push(UsageRequest {
                 tag: *tag,
                 rate: shares.rate as f32,
                 capacity: shares.capacity as f32,
@@ -365,7 +365,7 @@
                 first: account.waiting.first().map_or(0, |(_, cost, _)| cost),
             });
         }
-        wishes
+        requests
     }
 
     /// Has reports with what this router knows of targets' limits sent to the meters at once.
--- a/crates/core/src/direct/limits/messages.rs
+++ b/crates/core/src/direct/limits/messages.rs
@@ -38,7 +38,8 @@
     /// The configuration that the limits below are from.
     pub config: ConfigNumber,
     /// Limits that the router uses at this meter now.
-    pub wishes: Vec<UsageWish>,
+    #[serde(rename = "wishes")]
+    pub requests: Vec<UsageRequest>,
     /// What the router knows of targets' limits.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
@@ -46,7 +47,7 @@
 
 /// What a router wants of one limit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct UsageWish {
+pub struct UsageRequest {
     /// The limit.
     pub tag: LimitTag,
     /// Units a second, over all routers.
@@ -74,7 +75,7 @@
     pub sequence: u32,
     /// The number that the router has here.
     pub enrolment: EnrolmentId,
-    /// For each wish of the report.
+    /// For each request of the report.
     pub grants: Vec<LimitGrant>,
     /// Limits of targets that the router knows otherwise.
     #[serde(rename = "news")]
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -13,7 +13,7 @@
 use super::{
     LimitTag,
     bucket::TokenBucket,
-    messages::{EnrolmentId, LimitGrant, MeterTag, UsageGrant, UsageReport, UsageWish},
+    messages::{EnrolmentId, LimitGrant, MeterTag, UsageGrant, UsageReport, UsageRequest},
     meters::{first_meter, report_ttl},
 };
 use crate::{
@@ -100,10 +100,10 @@
         let enrolment = self.routers.get(&report.boot)?.enrolment;
         // Wants of another enrolment were counted from another beginning.
         let is_enrolled = report.enrolment == enrolment;
-        let wishes = report.wishes.iter();
-        let grants = wishes.filter_map(|wish| {
-            let is_newest = book.is_newest(wish.tag, wish.rate);
-            self.grant(report, wish, is_enrolled, is_newest, now)
+        let requests = report.requests.iter();
+        let grants = requests.filter_map(|request| {
+            let is_newest = book.is_newest(request.tag, request.rate);
+            self.grant(report, request, is_enrolled, is_newest, now)
         });
         Some(UsageGrant {
             meter: report.meter,
@@ -185,19 +185,19 @@
     fn grant(
         &mut self,
         report: &UsageReport,
-        wish: &UsageWish,
+        request: &UsageRequest,
         is_enrolled: bool,
         is_newest: Option<bool>,
         now: Timestamp,
     ) -> Option<LimitGrant> {
-        let share = share(&self.groups, self.router_count, report.meter, wish.tag);
-        if !self.limits.contains_key(&wish.tag) && self.limits.len() >= LIMIT_COUNT {
+        let share = share(&self.groups, self.router_count, report.meter, request.tag);
+        if !self.limits.contains_key(&request.tag) && self.limits.len() >= LIMIT_COUNT {
             return None;
         }
         let router = self.routers.get_mut(&report.boot)?;
-        let limit = self.limits.entry(wish.tag).or_insert_with(|| {
+        let limit = self.limits.entry(request.tag).or_insert_with(|| {
             // Where calls used the limit lately, another meter granted that, or an earlier start of this one.
-            let level = if wish.is_quiet { f64::from(wish.capacity) * share } else { 0.0 };
+            let level = if request.is_quiet { f64::from(request.capacity) * share } else { 0.0 };
             MeteredLimit {
                 meter: report.meter,
                 config: 0,
@@ -212,18 +212,18 @@
         limit.meter = report.meter;
         if is_newest.unwrap_or(report.config >= limit.config) {
             limit.config = report.config;
-            limit.rate = f64::from(wish.rate);
-            limit.capacity = f64::from(wish.capacity);
+            limit.rate = f64::from(request.rate);
+            limit.capacity = f64::from(request.capacity);
         }
         let rate = limit.rate * share;
         let left = limit.bucket.refill(rate, limit.capacity * share, now);
-        let granted = router.granted.entry(wish.tag).or_default();
-        let open = wish.wanted.saturating_sub(*granted);
-        let most = left + f64::from(wish.overdraft);
-        if is_enrolled && left > 0.0 && f64::from(wish.first) <= most {
+        let granted = router.granted.entry(request.tag).or_default();
+        let open = request.wanted.saturating_sub(*granted);
+        let most = left + f64::from(request.overdraft);
+        if is_enrolled && left > 0.0 && f64::from(request.first) <= most {
             // What routers hold for calls to come serves small calls only, as a large one fits into no slice.
             // So the less there is, the less of it is given out for that.
-            let needed = (open as f64).min(f64::from(wish.needed));
+            let needed = (open as f64).min(f64::from(request.needed));
             let slice = (open as f64 - needed).min(SLICE_PART * (left - needed).max(0.0));
             let units = needed.min(most).floor() + slice.floor();
             *granted += units as u64;
@@ -231,7 +231,7 @@
         }
         let left = limit.bucket.level() as f32;
         Some(LimitGrant {
-            tag: wish.tag,
+            tag: request.tag,
             granted: *granted,
             left,
             rate: rate as f32,
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -17,7 +17,7 @@
     call::AdapterId,
     demand::RECENT_HALF_LIFE,
     membership::{InstanceId, TargetIncarnation},
-    messages::{AdapterWish, BaseOffer, RouterNotice},
+    messages::{BaseOffer, LoadRequest, RouterNotice},
     orders::{EngineOrder, EngineReport, OrderAnswer, OrderVerb},
 };
 use crate::{
@@ -39,8 +39,8 @@
 pub const TRANSIT_LIMIT: usize = 4;
 /// Age after which a router's notice counts no more; routers send one at least each second.
 const NOTICE_TTL: Duration = Duration::from_millis(2_500);
-/// Time for which a wish must have waited before an adapter in use gives way to it. The unload waits for
-/// the runs of the adapter, and all other loads of the engine wait for the unload, so this is the last
+/// Time for which a load request must have waited before an adapter in use gives way to it. The unload waits
+/// for the runs of the adapter, and all other loads of the engine wait for the unload, so this is the last
 /// resort: at 0.4 s, an engine whose runs had become slow stood still most of the time.
 const PATIENCE: Duration = Duration::from_millis(1_500);
 /// Half-life of the demand by which adapters are kept. An engine has some 14 places and loads a dozen
@@ -88,13 +88,13 @@
 struct NoticeState {
     notice: RouterNotice,
     received: Timestamp,
-    /// When each wish was first seen.
-    wished: HashMap<AdapterId, Timestamp>,
-    /// Wishes met since the notice came. The router takes a wish back only with its next notice; until
-    /// then it must not ask for a load again when its adapter has been evicted meanwhile.
+    /// When each load request was first seen.
+    requested: HashMap<AdapterId, Timestamp>,
+    /// Load requests met since the notice came. The router withdraws a request only with its next notice;
+    /// until then it must not ask for a load again when its adapter has been evicted meanwhile.
     met: HashSet<AdapterId>,
     /// Whether it wants a report and has had none since.
-    asks: bool,
+    wants_report: bool,
     /// What it was last told of the adapters for which its calls wait.
     told_met: Option<ToldMet>,
 }
@@ -228,18 +228,19 @@
             self.offer = Some(EngineOffer { bases, memory_mb });
         }
         let known = self.notices.get(&router);
-        let earlier = known.map(|state| &state.wished);
-        let wished = notice.wishes.iter().map(|wish| {
-            let adapter = wish_adapter(wish);
-            let since = earlier.and_then(|wished| wished.get(&adapter)).copied().unwrap_or(now);
+        let earlier = known.map(|state| &state.requested);
+        let requested = notice.load_requests.iter().map(|request| {
+            let adapter = requested_adapter(request);
+            let since =
+                earlier.and_then(|requested| requested.get(&adapter)).copied().unwrap_or(now);
             (adapter, since)
         });
         let state = NoticeState {
-            wished: wished.collect(),
+            requested: requested.collect(),
             met: HashSet::new(),
-            asks: notice.asks || known.is_some_and(|state| state.asks),
+            wants_report: notice.wants_report || known.is_some_and(|state| state.wants_report),
             told_met: known
-                .filter(|state| has_same_wishes(state, &notice))
+                .filter(|state| has_same_requests(state, &notice))
                 .and_then(|s| s.told_met),
             received: now,
             notice,
@@ -283,7 +284,7 @@
         self.report = Some(report);
     }
 
-    /// What was known of the engine is no longer true, and what was met may be wished for again.
+    /// What was known of the engine is no longer true, and what was met may be requested again.
     fn begin_incarnation(&mut self) {
         self.instance = None;
         self.lost.begin_incarnation();
@@ -322,9 +323,9 @@
 
     fn note_met(&mut self, report: &EngineReport) {
         for state in self.notices.values_mut() {
-            for wish in &state.notice.wishes {
-                let adapter = wish_adapter(wish);
-                if report.held(&adapter).is_some_and(|version| version >= wish.version) {
+            for request in &state.notice.load_requests {
+                let adapter = requested_adapter(request);
+                if report.held(&adapter).is_some_and(|version| version >= request.version) {
                     state.met.insert(adapter);
                 }
             }
@@ -400,9 +401,10 @@
         running.get(id).copied().unwrap_or(0) + u32::from(is_fresh)
     }
 
-    fn is_met(&self, wish: &AdapterWish) -> bool {
-        let version = self.report.as_ref().and_then(|report| report.held(&wish_adapter(wish)));
-        version.is_some_and(|version| version >= wish.version)
+    fn is_met(&self, request: &LoadRequest) -> bool {
+        let version =
+            self.report.as_ref().and_then(|report| report.held(&requested_adapter(request)));
+        version.is_some_and(|version| version >= request.version)
     }
 
     fn apply(&mut self, order: &EngineOrder, answer: OrderAnswer, now: Timestamp) {
@@ -447,8 +449,9 @@
                     AdapterId { base: Arc::clone(&used.base), name: Arc::clone(&used.adapter) };
                 *running.entry(adapter).or_default() += u32::from(used.running);
             }
-            for wish in state.notice.wishes.iter().filter(|wish| wish.waiting > 0) {
-                *running.entry(wish_adapter(wish)).or_default() += u32::from(wish.waiting);
+            for request in state.notice.load_requests.iter().filter(|request| request.waiting > 0) {
+                *running.entry(requested_adapter(request)).or_default() +=
+                    u32::from(request.waiting);
             }
         }
         running
@@ -465,15 +468,16 @@
     is_other_start || report.order_count < known.order_count
 }
 
-fn has_same_wishes(state: &NoticeState, notice: &RouterNotice) -> bool {
-    let known = state.notice.wishes.iter().map(|wish| (&wish.adapter, wish.version));
-    known.eq(notice.wishes.iter().map(|wish| (&wish.adapter, wish.version)))
+fn has_same_requests(state: &NoticeState, notice: &RouterNotice) -> bool {
+    let known =
+        state.notice.load_requests.iter().map(|request| (&request.adapter, request.version));
+    known.eq(notice.load_requests.iter().map(|request| (&request.adapter, request.version)))
 }
 
 fn as_millis(time: Duration) -> u16 {
     u16::try_from(time.as_millis()).unwrap_or(u16::MAX)
 }
 
-fn wish_adapter(wish: &AdapterWish) -> AdapterId {
-    AdapterId { base: Arc::clone(&wish.base), name: Arc::clone(&wish.adapter) }
+fn requested_adapter(request: &LoadRequest) -> AdapterId {
+    AdapterId { base: Arc::clone(&request.base), name: Arc::clone(&request.adapter) }
 }
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -1,10 +1,10 @@
-//! Which order comes next: the turn of wishes, the window of loads, and what gives way.
+//! Which order comes next: the order of load requests, the window of loads, and what gives way.
 
-use super::{LoaderMachine, PATIENCE, TRANSIT_LIMIT, wish_adapter};
+use super::{LoaderMachine, PATIENCE, TRANSIT_LIMIT, requested_adapter};
 use crate::{
     direct::{
         call::AdapterId,
-        messages::AdapterWish,
+        messages::LoadRequest,
         orders::{EngineReport, OrderVerb},
     },
     ids::{BaseName, Timestamp},
@@ -18,9 +18,10 @@
 impl LoaderMachine {
     /// Counts a load towards the turn of late calls.
     pub(super) fn count_turn(&mut self, adapter: &AdapterId, now: Timestamp) {
-        let wishes = self.notices.values().flat_map(|state| &state.notice.wishes);
-        let mut own = wishes.filter(|wish| wish_adapter(wish) == *adapter && wish.waiting > 0);
-        let is_timely = own.any(|wish| self.is_in_time(wish, now));
+        let load_requests = self.notices.values().flat_map(|state| &state.notice.load_requests);
+        let mut own = load_requests
+            .filter(|request| requested_adapter(request) == *adapter && request.waiting > 0);
+        let is_timely = own.any(|request| self.is_in_time(request, now));
         self.timely_loads = if is_timely { self.timely_loads.saturating_add(1) } else { 0 };
     }
 
@@ -34,16 +35,17 @@
         if report.coming.len() >= TRANSIT_LIMIT {
             return None;
         }
-        let wishes = self.wishes_in_turn(report, now);
+        let load_requests = self.requests_in_order(report, now);
         let far = self.far_loads();
-        let (wish, since) = wishes.iter().find(|(wish, _)| self.may_begin(wish, far))?;
-        let adapter = wish_adapter(wish);
+        let (request, since) =
+            load_requests.iter().find(|(request, _)| self.may_begin(request, far))?;
+        let adapter = requested_adapter(request);
         let is_replacement = report.held(&adapter).is_some();
         let reserved = self.reserved_places(report);
         if is_replacement || report.occupied() + reserved < places {
-            return Some(OrderVerb::LoadAdapter(adapter, wish.version));
+            return Some(OrderVerb::LoadAdapter(adapter, request.version));
         }
-        self.victim(report, wish, now.saturating_sub(*since), now).map(OrderVerb::UnloadAdapter)
+        self.victim(report, request, now.saturating_sub(*since), now).map(OrderVerb::UnloadAdapter)
     }
 
     /// Loads on their way from the weight store.
@@ -53,11 +55,11 @@
 
     /// Whether a load may begin while `far` others are on their way from the weight store. One from the
     /// host's memory takes nothing of the store, and one ahead of calls waits while others need it.
-    fn may_begin(&self, wish: &AdapterWish, far: usize) -> bool {
-        if self.memory.holds(&wish_adapter(wish)) {
+    fn may_begin(&self, request: &LoadRequest, far: usize) -> bool {
+        if self.memory.holds(&requested_adapter(request)) {
             return true;
         }
-        far < self.transit.window() && (wish.waiting > 0 || !self.transit.is_congested())
+        far < self.transit.window() && (request.waiting > 0 || !self.transit.is_congested())
     }
 
     /// Places kept free for loads that an earlier incarnation of the engine never answered.
@@ -70,66 +72,69 @@
         let offer = self.offer.as_ref()?;
         let fitting = offer.bases.iter().filter(|base| base.weights_mb <= offer.memory_mb);
         let waiting = |base: &BaseName| -> u32 {
-            let wishes = self.notices.values().flat_map(|state| &state.notice.wishes);
-            let own = wishes.filter(|wish| wish.base == *base);
-            own.map(|wish| u32::from(wish.waiting)).sum()
+            let load_requests = self.notices.values().flat_map(|state| &state.notice.load_requests);
+            let own = load_requests.filter(|request| request.base == *base);
+            own.map(|request| u32::from(request.waiting)).sum()
         };
         // Of equals the first: `max_by_key` would take the last.
         let best = fitting.rev().max_by_key(|base| waiting(&base.base));
         best.map(|base| Arc::clone(&base.base))
     }
 
-    /// Open wishes in the order of their loads: first those of calls that can still meet their objective,
-    /// then those of calls that are late already, then those ahead of calls. While the weight store is
-    /// overloaded, a load for a late call makes another one late too; but late calls have their turn now
-    /// and then.
-    fn wishes_in_turn(
+    /// Open load requests in the order of their loads: first those of calls that can still meet their
+    /// objective, then those of calls that are late already, then those ahead of calls. While the weight
+    /// store is overloaded, a load for a late call makes another one late too; but late calls have their turn
+    /// now and then.
+    fn requests_in_order(
         &self,
         report: &EngineReport,
         now: Timestamp,
-    ) -> Vec<(&AdapterWish, Timestamp)> {
-        let mut wishes = self.open_wishes(report);
+    ) -> Vec<(&LoadRequest, Timestamp)> {
+        let mut load_requests = self.open_requests(report);
         let is_late_turn = self.timely_loads >= TIMELY_LOADS;
-        wishes.sort_by_cached_key(|(wish, since)| {
-            let callers = Reverse(self.waiting_calls(&wish_adapter(wish)));
-            let is_behind = self.is_in_time(wish, now) == is_late_turn;
-            (wish.waiting == 0, is_behind, callers, wish.priority, *since)
+        load_requests.sort_by_cached_key(|(request, since)| {
+            let callers = Reverse(self.waiting_calls(&requested_adapter(request)));
+            let is_behind = self.is_in_time(request, now) == is_late_turn;
+            (request.waiting == 0, is_behind, callers, request.priority, *since)
         });
-        wishes
+        load_requests
     }
 
-    /// Wishes that nothing held or coming meets, and since when each was seen.
-    pub(super) fn open_wishes(&self, report: &EngineReport) -> Vec<(&AdapterWish, Timestamp)> {
-        let mut wishes: Vec<(&AdapterWish, Timestamp)> = Vec::new();
+    /// Load requests that nothing held or loading meets, and since when each was seen.
+    pub(super) fn open_requests(&self, report: &EngineReport) -> Vec<(&LoadRequest, Timestamp)> {
+        let mut load_requests: Vec<(&LoadRequest, Timestamp)> = Vec::new();
         for state in self.notices.values() {
-            for wish in &state.notice.wishes {
-                let adapter = wish_adapter(wish);
-                let is_met = report.held(&adapter).is_some_and(|version| version >= wish.version);
+            for request in &state.notice.load_requests {
+                let adapter = requested_adapter(request);
+                let is_met =
+                    report.held(&adapter).is_some_and(|version| version >= request.version);
                 let is_coming = report.is_coming(&adapter);
-                let has_base = report.holdings.iter().any(|holding| holding.base == wish.base);
+                let has_base = report.holdings.iter().any(|holding| holding.base == request.base);
                 if !is_met && !state.met.contains(&adapter) && !is_coming && has_base {
-                    let since = state.wished.get(&adapter).copied().unwrap_or(state.received);
-                    wishes.push((wish, since));
+                    let since = state.requested.get(&adapter).copied().unwrap_or(state.received);
+                    load_requests.push((request, since));
                 }
             }
         }
-        wishes
+        load_requests
     }
 
     /// Calls of all routers that wait for an adapter.
     pub(super) fn waiting_calls(&self, adapter: &AdapterId) -> u32 {
-        let wishes = self.notices.values().flat_map(|state| &state.notice.wishes);
-        let own = wishes.filter(|wish| wish.adapter == adapter.name && wish.base == adapter.base);
-        own.map(|wish| u32::from(wish.waiting)).sum()
+        let load_requests = self.notices.values().flat_map(|state| &state.notice.load_requests);
+        let own = load_requests
+            .filter(|request| request.adapter == adapter.name && request.base == adapter.base);
+        own.map(|request| u32::from(request.waiting)).sum()
     }
 
     /// Whether a call that waits meets its objective if its adapter is loaded now.
-    pub(super) fn is_in_time(&self, wish: &AdapterWish, now: Timestamp) -> bool {
-        let adapter = wish_adapter(wish);
+    pub(super) fn is_in_time(&self, request: &LoadRequest, now: Timestamp) -> bool {
+        let adapter = requested_adapter(request);
         let load = self.expected_load(&adapter);
         let mut states = self.notices.values();
         states.any(|state| {
-            let own = state.notice.wishes.iter().find(|own| wish_adapter(own) == adapter);
+            let own =
+                state.notice.load_requests.iter().find(|own| requested_adapter(own) == adapter);
             own.is_some_and(|own| {
                 own.slack_ms > 0
                     && now + load < state.received + Duration::from_millis(own.slack_ms.into())
@@ -137,12 +142,12 @@
         })
     }
 
-    /// The adapter that gives way: not in use, not wished for, least wanted lately. One in use gives way
+    /// The adapter that gives way: not in use, not requested, least wanted lately. One in use gives way
     /// only to a call that has waited for longer than [`PATIENCE`].
     fn victim(
         &self,
         report: &EngineReport,
-        wish: &AdapterWish,
+        request: &LoadRequest,
         waited: Duration,
         now: Timestamp,
     ) -> Option<AdapterId> {
@@ -156,7 +161,7 @@
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then_with(|| a.2.cmp(&b.2))
         };
         let (in_use, _, id) = scored.min_by(least)?;
-        let may_go = in_use == 0 || (wish.waiting > 0 && waited > PATIENCE);
+        let may_go = in_use == 0 || (request.waiting > 0 && waited > PATIENCE);
         may_go.then_some(id)
     }
 }
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -12,7 +12,7 @@
 /// are lost at times.
 const AWAITED_PAUSE: Duration = Duration::from_millis(50);
 
-/// What all routers with calls or wishes here must know at once when it changes.
+/// What all routers with calls or load requests here must know at once when it changes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct EngineState {
     incarnation: TargetIncarnation,
@@ -37,7 +37,7 @@
         for router in &due {
             let adapters = self.awaited_adapters(router);
             let Some(state) = self.notices.get_mut(router) else { continue };
-            state.asks = false;
+            state.wants_report = false;
             state.told_met = Some(ToldMet { at: now, adapters });
         }
         self.told_state = Some(state);
@@ -59,12 +59,13 @@
         let was_told = state.told_met.is_some_and(|told| {
             told.adapters == adapters && now.saturating_sub(told.at) < AWAITED_PAUSE
         });
-        state.asks || (adapters > 0 && !was_told)
+        state.wants_report || (adapters > 0 && !was_told)
     }
 
     /// Adapters that are there and for which calls of a router wait, as far as it has told.
     fn awaited_adapters(&self, router: &SocketAddr) -> usize {
-        let wishes = self.notices.get(router).into_iter().flat_map(|state| &state.notice.wishes);
-        wishes.filter(|wish| wish.waiting > 0 && self.is_met(wish)).count()
+        let load_requests =
+            self.notices.get(router).into_iter().flat_map(|state| &state.notice.load_requests);
+        load_requests.filter(|request| request.waiting > 0 && self.is_met(request)).count()
     }
 }
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -1,12 +1,12 @@
 //! What routers are told of the engine.
 
-use super::{LoaderMachine, as_millis, wish_adapter};
+use super::{LoaderMachine, as_millis, requested_adapter};
 use crate::{
     direct::{
         call::AdapterId,
         demand::encode_rate,
         membership::BaseHolding,
-        messages::{AdapterWish, LoaderReport},
+        messages::{LoadRequest, LoaderReport},
         orders::EngineReport,
     },
     ids::Timestamp,
@@ -19,9 +19,12 @@
         let incarnation = self.incarnation()?;
         let report = self.report.as_ref()?;
         self.sequence += 1;
-        let wishes = self.open_wishes(report);
-        let awaited = wishes.into_iter().map(|(wish, _)| wish).filter(|wish| wish.waiting > 0);
-        let awaited: Vec<&AdapterWish> = awaited.collect();
+        let load_requests = self.open_requests(report);
+        let awaited = load_requests
+            .into_iter()
+            .map(|(request, _)| request)
+            .filter(|request| request.waiting > 0);
+        let awaited: Vec<&LoadRequest> = awaited.collect();
         let coming = report.coming.iter();
         let coming = coming.map(|(id, _)| (Arc::clone(&id.base), Arc::clone(&id.name)));
         Some(LoaderReport {
@@ -50,7 +53,7 @@
     }
 
     /// Places that are free or held by adapters that nobody uses, less the loads that wait for one.
-    fn room(&self, report: &EngineReport, awaited: &[&AdapterWish], now: Timestamp) -> i32 {
+    fn room(&self, report: &EngineReport, awaited: &[&LoadRequest], now: Timestamp) -> i32 {
         let newest = self.notices.values().max_by_key(|state| state.received);
         let places = newest.map_or(0, |state| usize::from(state.notice.adapter_places));
         let running = self.running();
@@ -67,10 +70,10 @@
 
     /// Wait before a load from the weight store can begin for a call that can still meet its objective;
     /// it goes before those that cannot.
-    fn load_queue(&self, awaited: &[&AdapterWish], now: Timestamp) -> Duration {
-        let waiting = awaited
-            .iter()
-            .filter(|wish| self.is_in_time(wish, now) && !self.memory.holds(&wish_adapter(wish)));
+    fn load_queue(&self, awaited: &[&LoadRequest], now: Timestamp) -> Duration {
+        let waiting = awaited.iter().filter(|request| {
+            self.is_in_time(request, now) && !self.memory.holds(&requested_adapter(request))
+        });
         let before = waiting.count() + self.far_loads();
         let window = self.transit.window();
         // With room in the window, a load begins at once.
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -12,7 +12,7 @@
 /// A datagram of a router to a loader.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RouterMessage {
-    /// Its wishes and uses at the engine.
+    /// Its load requests and uses at the engine.
     Notice(RouterNotice),
     /// That it is alive.
     Presence(RouterPresence),
@@ -33,9 +33,9 @@
     Presence(RouterPresence),
 }
 
-/// A router's wish for one adapter at the loader's engine.
+/// A router's standing request that the loader's engine hold an adapter.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct AdapterWish {
+pub struct LoadRequest {
     /// The base model.
     pub base: BaseName,
     /// The adapter.
@@ -77,7 +77,7 @@
     pub adapter_mb: f32,
 }
 
-/// What a router tells a loader: all of its wishes and uses there.
+/// What a router tells a loader: all of its load requests and uses there.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterNotice {
     /// The router's start.
@@ -94,11 +94,13 @@
     /// Base models of the service; told with the first notice, and while the engine is believed to hold none.
     pub bases: Vec<BaseOffer>,
     /// Adapters wanted.
-    pub wishes: Vec<AdapterWish>,
+    #[serde(rename = "wishes")]
+    pub load_requests: Vec<LoadRequest>,
     /// Adapters in use.
     pub uses: Vec<AdapterUse>,
     /// Whether the router wants a report in answer.
-    pub asks: bool,
+    #[serde(rename = "asks")]
+    pub wants_report: bool,
 }
 
 /// What a loader tells routers of its engine.
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -3,8 +3,8 @@
 //! Pattern: while every router told every loader of itself and every loader told every router of its engine,
 //! what one host sent, read and computed grew with the fleet: 69 kB a second at a router of a fleet of 300
 //! hosts. A router needs to know an engine only when it is about to send a call there, and a loader needs to
-//! know of a router only while that has calls or wishes at its engine. So a router asks before it sends,
-//! which costs a trip of about a millisecond, and what a host sends grows with its own calls alone.
+//! know of a router only while that has calls or load requests at its engine. So a router asks before it
+//! sends, which costs a trip of about a millisecond, and what a host sends grows with its own calls alone.
 
 use super::{
     membership::TargetIncarnation, messages::RouterNotice, target::TargetState, targets::TargetPool,
@@ -14,8 +14,8 @@
 
 /// Pause after which a question that was not answered is sent again: datagrams are lost at times.
 const QUESTION_PAUSE: Duration = Duration::from_millis(50);
-/// Shortest pause between notices to one loader that a new wish does not hurry: what began or ended within
-/// it is told together.
+/// Shortest pause between notices to one loader that a new load request does not hurry: what began or ended
+/// within it is told together.
 const NOTICE_GAP: Duration = Duration::from_millis(100);
 /// Pause between notices to a loader at whose engine calls run and nothing changes; it forgets a router
 /// after 2.5 s, and the adapters of its calls would then be evicted under them.
@@ -29,7 +29,7 @@
 struct SentNotice {
     at: Timestamp,
     asked: Timestamp,
-    /// Whether it was told of wishes or uses, so that it must be told once more when they have ended.
+    /// Whether it was told of load requests or uses, so that it must be told once more when they have ended.
     was_engaged: bool,
 }
 
@@ -83,8 +83,9 @@
         let is_offer = is_empty || last.is_none();
         let bases = if is_offer { TargetPool::base_offers(spec) } else { Vec::new() };
         let asked_lately = last.is_some_and(|sent| now.saturating_sub(sent.asked) < WAIT_PAUSE);
-        let asks = target.has_question(now) || is_empty || (target.has_wish() && !asked_lately);
-        let asked = if asks { now } else { last.map_or(Duration::ZERO, |sent| sent.asked) };
+        let wants_report =
+            target.has_question(now) || is_empty || (target.has_load_request() && !asked_lately);
+        let asked = if wants_report { now } else { last.map_or(Duration::ZERO, |sent| sent.asked) };
         let was_engaged = target.is_engaged();
         let target = pool.target_mut(incarnation)?;
         if is_empty {
@@ -100,9 +101,9 @@
             adapter_places,
             memory_mb,
             bases,
-            wishes: target.wish_list(now),
+            load_requests: target.load_requests(now),
             uses: target.take_uses(),
-            asks,
+            wants_report,
         })
     }
 }
@@ -112,7 +113,7 @@
     let was_engaged = sent.is_some_and(|sent| sent.was_engaged);
     if target.has_question(now) {
         Some(QUESTION_PAUSE)
-    } else if target.waiting_wishes() > 0 || target.has_untold_calls() {
+    } else if target.awaited_adapters() > 0 || target.has_untold_calls() {
         Some(NOTICE_GAP)
     } else if target.is_engaged() {
         Some(NOTICE_PAUSE)
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -5,7 +5,7 @@
     call::AdapterId,
     health::TargetHealth,
     membership::{BaseHolding, TargetEntry},
-    messages::{AdapterUse, AdapterWish, LoaderReport},
+    messages::{AdapterUse, LoadRequest, LoaderReport},
     pressure::LatencyGauge,
     target_limit::KnownLimit,
     target_statement::TargetStatement,
@@ -45,9 +45,9 @@
     pub(super) started_tokens: u32,
 }
 
-/// A router's wish for an adapter at a target.
+/// A router's request that a target hold an adapter.
 #[derive(Clone, Debug)]
-pub(super) struct WishState {
+pub(super) struct LoadRequestState {
     pub(super) version: AdapterVersion,
     /// When the adapter must be there for each call that waits to meet its objective.
     pub(super) waiters: Vec<Timestamp>,
@@ -55,7 +55,7 @@
     pub(super) made: Timestamp,
 }
 
-impl WishState {
+impl LoadRequestState {
     pub(super) fn is_awaited(&self) -> bool {
         !self.waiters.is_empty()
     }
@@ -98,7 +98,7 @@
     /// Whether the list shows a later incarnation at its address.
     pub(super) is_superseded: bool,
     pub(super) uses: HashMap<AdapterId, UseCounts>,
-    pub(super) wishes: HashMap<AdapterId, WishState>,
+    pub(super) load_requests: HashMap<AdapterId, LoadRequestState>,
 }
 
 impl TargetState {
@@ -119,7 +119,7 @@
             is_displaced: false,
             is_superseded: false,
             uses: HashMap::new(),
-            wishes: HashMap::new(),
+            load_requests: HashMap::new(),
         }
     }
 
@@ -190,7 +190,7 @@
 
     /// Whether calls of this router run here or wait for adapters, or adapters are wanted ahead of calls.
     pub fn is_engaged(&self) -> bool {
-        self.has_wish() || !self.uses.is_empty()
+        self.has_load_request() || !self.uses.is_empty()
     }
 
     /// What the target holds: by its loader if that is heard, else by the list.
@@ -256,14 +256,14 @@
         self.fresh_report(now).is_some_and(|report| !report.is_answering)
     }
 
-    /// Whether this router wishes for an adapter here.
-    pub fn has_wish(&self) -> bool {
-        !self.wishes.is_empty()
+    /// Whether this router requests an adapter here.
+    pub fn has_load_request(&self) -> bool {
+        !self.load_requests.is_empty()
     }
 
     /// Adapters for which calls of this router wait here.
-    pub fn waiting_wishes(&self) -> usize {
-        self.wishes.values().filter(|wish| wish.is_awaited()).count()
+    pub fn awaited_adapters(&self) -> usize {
+        self.load_requests.values().filter(|request| request.is_awaited()).count()
     }
 
     /// Whether the loader has not been told yet of calls that began here, or of an adapter that is no
@@ -272,17 +272,17 @@
         self.uses.values().any(|counts| counts.started > 0 || counts.running == 0)
     }
 
-    /// What the loader is told about this router's wishes.
-    pub fn wish_list(&self, now: Timestamp) -> Vec<AdapterWish> {
-        let wishes = self.wishes.iter().map(|(adapter, wish)| AdapterWish {
+    /// This router's load requests, for the loader.
+    pub fn load_requests(&self, now: Timestamp) -> Vec<LoadRequest> {
+        let load_requests = self.load_requests.iter().map(|(adapter, request)| LoadRequest {
             base: Arc::clone(&adapter.base),
             adapter: Arc::clone(&adapter.name),
-            version: wish.version,
-            waiting: wish.waiters.len() as u16,
-            priority: wish.priority,
-            slack_ms: wish.slack_ms(now),
+            version: request.version,
+            waiting: request.waiters.len() as u16,
+            priority: request.priority,
+            slack_ms: request.slack_ms(now),
         });
-        wishes.collect()
+        load_requests.collect()
     }
 
     /// What the loader is told about this router's calls; counts of started calls begin anew.
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -14,7 +14,7 @@
     membership::{InstanceId, ListChange, TargetEntry, TargetIncarnation, TargetList},
     messages::{BaseOffer, LoaderReport},
     pressure::ConcurrencyGauge,
-    target::{TargetState, WishState},
+    target::{LoadRequestState, TargetState},
     waits::UsualWaits,
 };
 use crate::ids::{AdapterVersion, ServiceName, Timestamp};
@@ -203,14 +203,16 @@
         let Some(target) = self.target_mut(&report.incarnation) else { return false };
         target.take_report(report, now);
         let satisfied: HashSet<AdapterId> = target
-            .wishes
+            .load_requests
             .iter()
-            .filter(|(adapter, wish)| {
-                target.held_version(adapter, now).is_some_and(|held| held >= wish.version)
+            .filter(|(adapter, request)| {
+                target.held_version(adapter, now).is_some_and(|held| held >= request.version)
             })
             .map(|(adapter, _)| adapter.clone())
             .collect();
-        target.wishes.retain(|adapter, wish| wish.is_awaited() || !satisfied.contains(adapter));
+        target
+            .load_requests
+            .retain(|adapter, request| request.is_awaited() || !satisfied.contains(adapter));
         true
     }
 
@@ -360,7 +362,7 @@
             if is_overdue { target.overdue + 1 } else { target.overdue.saturating_sub(1) };
     }
 
-    /// Wishes for an adapter at a target, with one more call that waits for it, and that meets its
+    /// Requests an adapter at a target, with one more call that waits for it, and that meets its
     /// objective if the adapter is there by `due`.
     pub fn add_waiter(
         &mut self,
@@ -372,15 +374,15 @@
         now: Timestamp,
     ) {
         let Some(target) = self.target_mut(incarnation) else { return };
-        let wish = target.wishes.entry(adapter.clone()).or_insert(WishState {
+        let request = target.load_requests.entry(adapter.clone()).or_insert(LoadRequestState {
             version,
             waiters: Vec::new(),
             priority,
             made: now,
         });
-        wish.waiters.push(due);
-        wish.version = wish.version.max(version);
-        wish.priority = wish.priority.min(priority);
+        request.waiters.push(due);
+        request.version = request.version.max(version);
+        request.priority = request.priority.min(priority);
     }
 
     /// A call that was due then waits no longer.
@@ -391,17 +393,17 @@
         due: Timestamp,
     ) {
         let Some(target) = self.target_mut(incarnation) else { return };
-        if let Some(wish) = target.wishes.get_mut(adapter) {
-            if let Some(index) = wish.waiters.iter().position(|own| *own == due) {
-                wish.waiters.swap_remove(index);
+        if let Some(request) = target.load_requests.get_mut(adapter) {
+            if let Some(index) = request.waiters.iter().position(|own| *own == due) {
+                request.waiters.swap_remove(index);
             }
-            if !wish.is_awaited() {
-                target.wishes.remove(adapter);
+            if !request.is_awaited() {
+                target.load_requests.remove(adapter);
             }
         }
     }
 
-    /// Wishes for an adapter ahead of calls; returns whether it is a new wish.
+    /// Requests an adapter ahead of calls; returns whether the request is new.
     pub fn prefetch(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -410,21 +412,22 @@
         now: Timestamp,
     ) -> bool {
         let Some(target) = self.target_mut(incarnation) else { return false };
-        if let Some(wish) = target.wishes.get_mut(adapter) {
-            wish.version = wish.version.max(version);
+        if let Some(request) = target.load_requests.get_mut(adapter) {
+            request.version = request.version.max(version);
             return false;
         }
-        let wish = WishState { version, waiters: Vec::new(), priority: u8::MAX, made: now };
-        target.wishes.insert(adapter.clone(), wish);
+        let request =
+            LoadRequestState { version, waiters: Vec::new(), priority: u8::MAX, made: now };
+        target.load_requests.insert(adapter.clone(), request);
         true
     }
 
-    /// Drops wishes ahead of calls that were not met within `max_age`.
+    /// Drops load requests ahead of calls that were not met within `max_age`.
     pub fn drop_old_prefetches(&mut self, max_age: Duration, now: Timestamp) {
         for target in self.targets.values_mut() {
-            target
-                .wishes
-                .retain(|_, wish| wish.is_awaited() || now.saturating_sub(wish.made) < max_age);
+            target.load_requests.retain(|_, request| {
+                request.is_awaited() || now.saturating_sub(request.made) < max_age
+            });
         }
     }
 
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -7,7 +7,7 @@
 use plantain_core::direct::{
     call::AdapterId,
     loader::{LoaderMachine, LoaderStep},
-    messages::{AdapterUse, AdapterWish, BaseOffer, RouterNotice},
+    messages::{AdapterUse, BaseOffer, LoadRequest, RouterNotice},
     orders::{EngineOrder, EngineReport, OrderAnswer, OrderVerb},
 };
 use quickcheck::{Gen, QuickCheck};
@@ -19,8 +19,8 @@
     ([127, 0, 0, 1], 9_000 + index).into()
 }
 
-fn wish(name: &str, waiting: u16) -> AdapterWish {
-    AdapterWish {
+fn request(name: &str, waiting: u16) -> LoadRequest {
+    LoadRequest {
         base: BASE.into(),
         adapter: name.into(),
         version: 1,
@@ -44,7 +44,7 @@
     AdapterUse { running: 0, ..running(name, 1) }
 }
 
-fn notice(sequence: u32, wishes: Vec<AdapterWish>, uses: Vec<AdapterUse>) -> RouterNotice {
+fn notice(sequence: u32, load_requests: Vec<LoadRequest>, uses: Vec<AdapterUse>) -> RouterNotice {
     RouterNotice {
         boot: 1,
         sequence,
@@ -52,9 +52,9 @@
         adapter_places: PLACES,
         memory_mb: 80_000.0,
         bases: vec![BaseOffer { base: BASE.into(), weights_mb: 70_000.0, adapter_mb: 60.0 }],
-        wishes,
+        load_requests,
         uses,
-        asks: false,
+        wants_report: false,
     }
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn wishes_become_orders() {
+fn load_requests_become_orders() {
     let full = &[("a", 1), ("b", 1), ("c", 1), ("d", 1)];
     let cases = [
         OrderCase {
@@ -100,21 +100,21 @@
         OrderCase {
             name: "a free place",
             held: &[("a", 1)],
-            notice: notice(1, vec![wish("z", 1)], vec![]),
+            notice: notice(1, vec![request("z", 1)], vec![]),
             at: 1,
             verb: Some(OrderVerb::LoadAdapter(adapter("z"), 1)),
         },
         OrderCase {
             name: "held already",
             held: &[("z", 1)],
-            notice: notice(1, vec![wish("z", 1)], vec![]),
+            notice: notice(1, vec![request("z", 1)], vec![]),
             at: 1,
             verb: None,
         },
         OrderCase {
             name: "a newer version replaces the old in its place",
             held: full,
-            notice: notice(1, vec![AdapterWish { version: 2, ..wish("b", 1) }], vec![]),
+            notice: notice(1, vec![LoadRequest { version: 2, ..request("b", 1) }], vec![]),
             at: 1,
             verb: Some(OrderVerb::LoadAdapter(adapter("b"), 2)),
         },
@@ -123,7 +123,7 @@
             held: full,
             notice: notice(
                 1,
-                vec![wish("z", 1)],
+                vec![request("z", 1)],
                 vec![running("a", 1), running("b", 1), running("d", 2)],
             ),
             at: 1,
@@ -134,7 +134,7 @@
             held: full,
             notice: notice(
                 1,
-                vec![wish("z", 1)],
+                vec![request("z", 1)],
                 vec![running("a", 1), running("b", 1), running("d", 2), started("c")],
             ),
             at: 1,
@@ -145,7 +145,7 @@
             held: full,
             notice: notice(
                 1,
-                vec![wish("z", 1)],
+                vec![request("z", 1)],
                 vec![running("a", 1), running("b", 3), running("c", 1), running("d", 2)],
             ),
             at: 1,
@@ -154,7 +154,7 @@
         OrderCase {
             name: "a call before a wish ahead of calls",
             held: &[],
-            notice: notice(1, vec![wish("y", 0), wish("z", 1)], vec![]),
+            notice: notice(1, vec![request("y", 0), request("z", 1)], vec![]),
             at: 1,
             verb: Some(OrderVerb::LoadAdapter(adapter("z"), 1)),
         },
@@ -175,12 +175,12 @@
 fn a_call_that_waits_long_gets_a_place() {
     let mut machine = machine(7, &[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
     let uses = || vec![running("a", 2), running("b", 1), running("c", 3), running("d", 2)];
-    machine.take_notice(router(1), notice(1, vec![wish("z", 1)], uses()), ms(0));
+    machine.take_notice(router(1), notice(1, vec![request("z", 1)], uses()), ms(0));
     for (sequence, at) in [(2, 800), (3, 1_550)] {
         machine.take_report(report(7, &[("a", 1), ("b", 1), ("c", 1), ("d", 1)]), ms(at));
         let is_early = order_of(&machine.next_step(ms(at + 1))).is_none();
         assert!(is_early || at > 1_500, "at {at} ms");
-        machine.take_notice(router(1), notice(sequence, vec![wish("z", 1)], uses()), ms(at));
+        machine.take_notice(router(1), notice(sequence, vec![request("z", 1)], uses()), ms(at));
     }
     let step = machine.next_step(ms(1_551));
     let verb = order_of(&step).map(|order| order.verb.clone());
@@ -194,12 +194,12 @@
 fn a_new_adapter_is_not_the_first_to_go() {
     let mut machine = machine(7, &[("a", 1), ("b", 1), ("c", 1)]);
     let uses = vec![running("a", 0), running("b", 0), running("c", 0)];
-    machine.take_notice(router(1), notice(1, vec![wish("z", 1)], uses), ms(10));
+    machine.take_notice(router(1), notice(1, vec![request("z", 1)], uses), ms(10));
     let step = machine.next_step(ms(11));
     let order = order_of(&step).expect("a load").clone();
     machine.take_answer(&order, OrderAnswer::Accepted, ms(12));
     machine.take_report(report(8, &[("a", 1), ("b", 1), ("c", 1), ("z", 1)]), ms(40));
-    machine.take_notice(router(1), notice(2, vec![wish("y", 1)], vec![]), ms(200));
+    machine.take_notice(router(1), notice(2, vec![request("y", 1)], vec![]), ms(200));
     machine.take_report(report(8, &[("a", 1), ("b", 1), ("c", 1), ("z", 1)]), ms(200));
     let step = machine.next_step(ms(201));
     let verb = order_of(&step).map(|order| order.verb.clone());
@@ -209,13 +209,13 @@
 /// A call's adapter was loaded and evicted again before the router's next notice, which still wishes for
 /// it. Loading it once more would push out an adapter that somebody wants, for a call that was served.
 #[test]
-fn a_wish_that_was_met_asks_no_second_time() {
+fn a_load_request_that_was_met_asks_no_second_time() {
     let mut machine = machine(7, &[("a", 1)]);
-    machine.take_notice(router(1), notice(1, vec![wish("z", 1)], vec![]), ms(0));
+    machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     machine.take_report(report(8, &[("a", 1), ("z", 1)]), ms(40));
     machine.take_report(report(9, &[("a", 1)]), ms(60));
     assert!(matches!(machine.next_step(ms(61)), LoaderStep::Wait(_)));
-    machine.take_notice(router(1), notice(2, vec![wish("z", 1)], vec![]), ms(70));
+    machine.take_notice(router(1), notice(2, vec![request("z", 1)], vec![]), ms(70));
     assert!(order_of(&machine.next_step(ms(71))).is_some(), "a new notice asks anew");
 }
 
@@ -227,7 +227,7 @@
     let used = |name, count| AdapterUse { started: count, ..running(name, 0) };
     machine.take_notice(router(1), notice(1, vec![], vec![used("a", 9), used("b", 5)]), ms(0));
     machine.take_notice(router(1), notice(2, vec![], vec![used("c", 1), used("d", 2)]), ms(500));
-    machine.take_notice(router(1), notice(3, vec![wish("z", 1)], vec![]), ms(900));
+    machine.take_notice(router(1), notice(3, vec![request("z", 1)], vec![]), ms(900));
     machine.take_report(report(7, &[("a", 1), ("b", 1), ("c", 1), ("d", 1)]), ms(900));
     let step = machine.next_step(ms(901));
     let verb = order_of(&step).map(|order| order.verb.clone());
@@ -237,7 +237,7 @@
 struct RoomCase {
     name: &'static str,
     held: &'static [(&'static str, u32)],
-    wishes: Vec<AdapterWish>,
+    load_requests: Vec<LoadRequest>,
     uses: Vec<AdapterUse>,
     room: i32,
 }
@@ -249,34 +249,46 @@
     let full = &[("a", 1), ("b", 1), ("c", 1), ("d", 1)];
     let all_used = || ["a", "b", "c", "d"].map(|name| running(name, 1)).to_vec();
     let cases = [
-        RoomCase { name: "empty", held: &[], wishes: vec![], uses: vec![], room: 4 },
-        RoomCase { name: "full, none in use", held: full, wishes: vec![], uses: vec![], room: 4 },
+        RoomCase { name: "empty", held: &[], load_requests: vec![], uses: vec![], room: 4 },
+        RoomCase {
+            name: "full, none in use",
+            held: full,
+            load_requests: vec![],
+            uses: vec![],
+            room: 4,
+        },
         RoomCase {
             name: "full, two in use",
             held: full,
-            wishes: vec![],
+            load_requests: vec![],
             uses: vec![running("a", 1), running("b", 3)],
             room: 2,
         },
-        RoomCase { name: "all in use", held: full, wishes: vec![], uses: all_used(), room: 0 },
+        RoomCase {
+            name: "all in use",
+            held: full,
+            load_requests: vec![],
+            uses: all_used(),
+            room: 0,
+        },
         RoomCase {
             name: "all in use, and two loads wait for a place",
             held: full,
-            wishes: vec![wish("x", 1), wish("y", 2)],
+            load_requests: vec![request("x", 1), request("y", 2)],
             uses: all_used(),
             room: -2,
         },
         RoomCase {
             name: "wishes ahead of calls take no place",
             held: full,
-            wishes: vec![wish("x", 0)],
+            load_requests: vec![request("x", 0)],
             uses: all_used(),
             room: 0,
         },
     ];
     for case in cases {
         let mut machine = machine(4, case.held);
-        machine.take_notice(router(1), notice(1, case.wishes, case.uses), ms(0));
+        machine.take_notice(router(1), notice(1, case.load_requests, case.uses), ms(0));
         let report = machine.make_report(ms(500)).expect("a report");
         assert_eq!(report.room, case.room, "{}", case.name);
     }
@@ -286,7 +298,7 @@
 #[test]
 fn a_dark_engine_gets_no_orders() {
     let mut machine = machine(7, &[("a", 1)]);
-    machine.take_notice(router(1), notice(1, vec![wish("z", 1)], vec![]), ms(0));
+    machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     machine.note_silence(ms(5));
     assert!(matches!(machine.next_step(ms(6)), LoaderStep::Wait(_)));
     assert!(!machine.make_report(ms(0)).expect("a report").is_answering);
@@ -375,8 +387,12 @@
             now += Duration::from_millis(u64::from(detail % 40));
             let name = format!("a{}", detail % 9);
             if kind % 5 == 0 {
-                let wishes = vec![wish(&name, u16::from(kind % 2))];
-                machine.take_notice(router(1), notice(sequence as u32 + 1, wishes, vec![]), now);
+                let load_requests = vec![request(&name, u16::from(kind % 2))];
+                machine.take_notice(
+                    router(1),
+                    notice(sequence as u32 + 1, load_requests, vec![]),
+                    now,
+                );
             }
             if kind % 7 == 0 && !engine.late.is_empty() {
                 let order = engine.late.remove(0);
--- a/crates/core/tests/core/direct/loader/incarnations.rs
+++ b/crates/core/tests/core/direct/loader/incarnations.rs
@@ -1,6 +1,6 @@
 //! Engines that start again, under another id or their own.
 
-use super::{BASE, adapter, machine, ms, notice, order_of, report, router, wish};
+use super::{BASE, adapter, machine, ms, notice, order_of, report, request, router};
 use plantain_core::direct::{
     loader::LoaderStep,
     membership::TargetIncarnation,
@@ -12,7 +12,7 @@
 #[test]
 fn a_restarted_engine_is_identified_and_gets_its_base_model() {
     let mut machine = machine(7, &[("a", 1)]);
-    machine.take_notice(router(1), notice(1, vec![wish("z", 1)], vec![]), ms(0));
+    machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     machine.take_report(EngineReport::default(), ms(10));
     assert_eq!(machine.next_step(ms(11)), LoaderStep::Identify);
     machine.take_instance("e2".into());
@@ -32,7 +32,7 @@
         let mut machine = machine(7, &[("a", 1)]);
         let first = EngineReport { started: Some(1_000), ..report(7, &[("a", 1)]) };
         machine.take_report(first, ms(1));
-        machine.take_notice(router(1), notice(1, vec![wish("z", 1)], vec![]), ms(2));
+        machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(2));
         let second = EngineReport { started, order_count, ..EngineReport::default() };
         machine.take_report(second.clone(), ms(10));
         assert_eq!(machine.next_step(ms(11)), LoaderStep::Identify, "{started:?}");
@@ -52,7 +52,7 @@
 #[test]
 fn a_load_lost_in_an_earlier_life_finds_a_place() {
     let mut machine = machine(4, &[("a", 1), ("b", 1), ("c", 1)]);
-    machine.take_notice(router(1), notice(1, vec![wish("z", 1)], vec![]), ms(0));
+    machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     let step = machine.next_step(ms(1));
     machine.take_answer(order_of(&step).expect("a load"), OrderAnswer::Silent, ms(2));
     machine.take_report(report(0, &[]), ms(3));
--- a/crates/core/tests/core/direct/loader/turns.rs
+++ b/crates/core/tests/core/direct/loader/turns.rs
@@ -1,14 +1,14 @@
 //! Which loads go first, and how many are on their way from the weight store.
 
-use super::{adapter, machine, ms, notice, order_of, report, router, running, wish};
+use super::{adapter, machine, ms, notice, order_of, report, request, router, running};
 use plantain_core::direct::{
-    messages::AdapterWish,
+    messages::LoadRequest,
     orders::{EngineReport, OrderAnswer, OrderVerb},
 };
 
 struct TurnCase {
     name: &'static str,
-    wishes: [AdapterWish; 2],
+    load_requests: [LoadRequest; 2],
     first: &'static str,
 }
 
@@ -17,21 +17,29 @@
 /// go first.
 #[test]
 fn calls_that_can_be_in_time_have_their_adapters_loaded_first() {
-    let late = |name| AdapterWish { slack_ms: 0, ..wish(name, 1) };
-    let hopeless = |name| AdapterWish { slack_ms: 100, ..wish(name, 1) };
-    let urgent = |name| AdapterWish { priority: 0, ..late(name) };
-    let calm = |name| AdapterWish { priority: 3, ..wish(name, 1) };
+    let late = |name| LoadRequest { slack_ms: 0, ..request(name, 1) };
+    let hopeless = |name| LoadRequest { slack_ms: 100, ..request(name, 1) };
+    let urgent = |name| LoadRequest { priority: 0, ..late(name) };
+    let calm = |name| LoadRequest { priority: 3, ..request(name, 1) };
     let cases = [
-        TurnCase { name: "late", wishes: [late("x"), wish("y", 1)], first: "y" },
-        TurnCase { name: "too little time", wishes: [hopeless("x"), wish("y", 1)], first: "y" },
-        TurnCase { name: "late and urgent", wishes: [urgent("x"), calm("y")], first: "y" },
-        TurnCase { name: "equals", wishes: [calm("x"), wish("y", 1)], first: "y" },
-        TurnCase { name: "both late", wishes: [late("x"), late("y")], first: "x" },
-        TurnCase { name: "ahead of calls", wishes: [wish("x", 0), late("y")], first: "y" },
+        TurnCase { name: "late", load_requests: [late("x"), request("y", 1)], first: "y" },
+        TurnCase {
+            name: "too little time",
+            load_requests: [hopeless("x"), request("y", 1)],
+            first: "y",
+        },
+        TurnCase { name: "late and urgent", load_requests: [urgent("x"), calm("y")], first: "y" },
+        TurnCase { name: "equals", load_requests: [calm("x"), request("y", 1)], first: "y" },
+        TurnCase { name: "both late", load_requests: [late("x"), late("y")], first: "x" },
+        TurnCase {
+            name: "ahead of calls",
+            load_requests: [request("x", 0), late("y")],
+            first: "y",
+        },
     ];
     for case in cases {
         let mut machine = machine(7, &[]);
-        let [early, later] = case.wishes;
+        let [early, later] = case.load_requests;
         machine.take_notice(router(1), notice(1, vec![early.clone()], vec![]), ms(0));
         machine.take_notice(router(1), notice(2, vec![early, later], vec![]), ms(1));
         let step = machine.next_step(ms(2));
@@ -50,7 +58,11 @@
 #[test]
 fn loads_from_the_store_wait_for_the_window() {
     let mut machine = machine(7, &[("a", 1)]);
-    machine.take_notice(router(1), notice(1, vec![wish("x", 1), wish("y", 1)], vec![]), ms(0));
+    machine.take_notice(
+        router(1),
+        notice(1, vec![request("x", 1), request("y", 1)], vec![]),
+        ms(0),
+    );
     let step = machine.next_step(ms(1));
     machine.take_answer(order_of(&step).expect("a load"), OrderAnswer::Accepted, ms(2));
     machine.take_report(coming(8, &[("a", 1)], &["x"]), ms(20));
@@ -68,12 +80,12 @@
 #[test]
 fn a_replacement_that_waits_for_runs_holds_up_no_load() {
     let mut machine = machine(7, &[("a", 1)]);
-    let newer = AdapterWish { version: 2, ..wish("a", 1) };
+    let newer = LoadRequest { version: 2, ..request("a", 1) };
     machine.take_notice(router(1), notice(1, vec![newer], vec![running("a", 3)]), ms(0));
     let step = machine.next_step(ms(1));
     machine.take_answer(order_of(&step).expect("a replacement"), OrderAnswer::Accepted, ms(2));
     machine.take_report(coming(8, &[("a", 1)], &["a"]), ms(20));
-    machine.take_notice(router(1), notice(2, vec![wish("y", 1)], vec![running("a", 3)]), ms(21));
+    machine.take_notice(router(1), notice(2, vec![request("y", 1)], vec![running("a", 3)]), ms(21));
     let step = machine.next_step(ms(22));
     let verb = order_of(&step).map(|order| order.verb.clone());
     assert_eq!(verb, Some(OrderVerb::LoadAdapter(adapter("y"), 1)));
@@ -88,7 +100,7 @@
 fn a_load_from_the_hosts_memory_does_not_wait_for_the_window() {
     let held: &[(&str, u32)] = &[("b", 1), ("c", 1), ("d", 1)];
     let mut machine = machine(7, &[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
-    machine.take_notice(router(1), notice(1, vec![wish("y", 1)], vec![]), ms(200));
+    machine.take_notice(router(1), notice(1, vec![request("y", 1)], vec![]), ms(200));
     for verb in [OrderVerb::UnloadAdapter(adapter("a")), OrderVerb::LoadAdapter(adapter("y"), 1)] {
         let step = machine.next_step(ms(201));
         let order = order_of(&step).expect("an order").clone();
@@ -98,9 +110,9 @@
         machine.take_answer(&order, answer, ms(202));
     }
     machine.take_report(coming(9, held, &["y"]), ms(210));
-    machine.take_notice(router(1), notice(2, vec![wish("z", 1)], vec![]), ms(211));
+    machine.take_notice(router(1), notice(2, vec![request("z", 1)], vec![]), ms(211));
     assert!(order_of(&machine.next_step(ms(212))).is_none(), "never held: it waits");
-    machine.take_notice(router(1), notice(3, vec![wish("a", 1)], vec![]), ms(213));
+    machine.take_notice(router(1), notice(3, vec![request("a", 1)], vec![]), ms(213));
     let step = machine.next_step(ms(214));
     let verb = order_of(&step).map(|order| order.verb.clone());
     assert!(matches!(verb, Some(OrderVerb::UnloadAdapter(_))), "a place for it: {verb:?}");
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -29,7 +29,7 @@
     pool.call_started(&e1, Some(&adapter("h7")), 0);
     assert_eq!(due(&mut schedule, &pool, 0), vec![e1.clone()]);
     let notice = schedule.make(&mut pool, &e1, ms(0)).expect("a notice");
-    assert_eq!((notice.uses.len(), notice.asks), (1, false));
+    assert_eq!((notice.uses.len(), notice.wants_report), (1, false));
     assert!(due(&mut schedule, &pool, 500).is_empty(), "told, and nothing changed");
     assert_eq!(due(&mut schedule, &pool, 800), [e1], "or the loader would forget the call");
 }
@@ -72,7 +72,7 @@
             let is_due = !due(&mut schedule, &pool, *at).is_empty();
             if is_due {
                 let notice = schedule.make(&mut pool, &e2, ms(*at)).expect("a notice");
-                assert!(notice.asks);
+                assert!(notice.wants_report);
             }
             is_due
         })
@@ -97,7 +97,7 @@
     assert_eq!(schedule.due(&pool, 100, ms(0), || 0.009), vec![e1.clone()]);
     assert!(schedule.due(&pool, 100, ms(0), || 0.011).is_empty());
     let notice = schedule.make(&mut pool, &e1, ms(0)).expect("a notice");
-    assert!(!notice.bases.is_empty() && notice.asks);
+    assert!(!notice.bases.is_empty() && notice.wants_report);
     take_report(&mut pool, "e1", 1, 10);
     assert!(schedule.due(&pool, 1, ms(300), || 0.0).is_empty(), "it holds its base model now");
     assert!(
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -6,7 +6,7 @@
 };
 use plantain_core::direct::{
     limits::{
-        messages::{UsageReport, UsageWish},
+        messages::{UsageReport, UsageRequest},
         meter::UsageMeter,
         terms::{FleetSize, LimitShares},
     },
@@ -229,7 +229,7 @@
         reachable: vec![3],
         routers: 1,
         config: 1,
-        wishes: Vec::new(),
+        requests: Vec::new(),
         limit_updates: Vec::new(),
     };
     let enrolment = meter.take(&report, &book, ms(1_000)).expect("an answer").enrolment;
@@ -237,7 +237,7 @@
     let mut granted = |rate: f64, wanted, at| {
         report.sequence += 1;
         let shares = LimitShares::new(&target_rule(rate), FleetSize::new(1, 1));
-        report.wishes = vec![UsageWish {
+        report.requests = vec![UsageRequest {
             tag: 7,
             rate: shares.rate as f32,
             capacity: shares.capacity as f32,
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -432,8 +432,8 @@
         };
         let objective = self.started + self.route.objective;
         let due = objective.saturating_sub(Duration::from_secs_f64(answer_ms / 1_000.0));
-        let wish = AdapterNeed { adapter, version, priority: self.priority(), due };
-        WaitGuard::new(&self.context, incarnation, &wish)
+        let need = AdapterNeed { adapter, version, priority: self.priority(), due };
+        WaitGuard::new(&self.context, incarnation, &need)
     }
 
     fn choose_now(&self, waiting: Option<&WaitGuard>) -> TargetChoice {
