--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -21,8 +21,8 @@
 pub enum IncarnationPhase {
     /// It lives, as far as is known.
     Alive,
-    /// It is leaving by plan, so that its end tells nothing of its calls.
-    Leaving,
+    /// It is draining, so that its end tells nothing of its calls.
+    Draining,
     /// It has ended.
     Ended,
 }
@@ -112,7 +112,7 @@
         taken.iter().filter(is_suspect).map(|left| left.run.call).collect()
     }
 
-    /// Drops runs that are too old or whose targets leave, and returns the targets that have ended.
+    /// Drops runs that are too old or whose targets drain, and returns the targets that have ended.
     pub fn look(
         &mut self,
         phase: impl Fn(&TargetIncarnation) -> IncarnationPhase,
@@ -125,7 +125,7 @@
         for incarnation in incarnations {
             match phase(&incarnation) {
                 IncarnationPhase::Alive => {}
-                IncarnationPhase::Leaving => self.runs.retain(|run| run.target != incarnation),
+                IncarnationPhase::Draining => self.runs.retain(|run| run.target != incarnation),
                 IncarnationPhase::Ended => ended.push(incarnation),
             }
         }
--- a/crates/core/src/direct/advertised_state.rs
+++ b/crates/core/src/direct/advertised_state.rs
@@ -1,4 +1,4 @@
-//! What targets advertise of themselves in their answers, beside limits: that they leave, and that they want no requests
+//! What targets advertise of themselves in their answers, beside limits: that they drain, and that they want no requests
 //! for a time. It holds for one incarnation of a target, and for what one router sends there.
 
 use super::{
@@ -14,7 +14,7 @@
 /// Status of an answer that turns a request away.
 const UNAVAILABLE: u16 = 503;
 
-/// Whether an answer says that the target which was asked leaves.
+/// Whether an answer says that the target which was asked drains.
 ///
 /// One that meets another incarnation's request may come from any target that has its address now, unless it names
 /// itself.
@@ -23,7 +23,7 @@
         Some(instance) => *instance == asked.id,
         None => head.status != MISDIRECTED,
     };
-    head.is_leaving && is_from_asked
+    head.is_draining && is_from_asked
 }
 
 /// For how long a target asks to back off, as it says in an answer that turns one away.
@@ -35,8 +35,8 @@
 /// What one incarnation of a target has advertised.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AdvertisedState {
-    /// Whether it leaves. An incarnation that leaves does not come back.
-    pub is_leaving: bool,
+    /// Whether it drains. An incarnation that drains does not come back.
+    pub is_draining: bool,
     /// Until when it wants no requests.
     pub backoff_until: Timestamp,
     /// When it last advertised anything.
@@ -44,10 +44,10 @@
 }
 
 impl AdvertisedState {
-    /// The target leaves; returns whether that is news.
+    /// The target drains; returns whether that is new.
     pub fn record_draining(&mut self, now: Timestamp) -> bool {
         self.as_of = self.as_of.max(now);
-        !std::mem::replace(&mut self.is_leaving, true)
+        !std::mem::replace(&mut self.is_draining, true)
     }
 
     /// The target wants no requests for `backoff`; returns whether it was not backing off before. A shorter time that is
@@ -66,6 +66,6 @@
 
     /// Whether it has advertised anything that may still hold.
     pub fn is_known(&self) -> bool {
-        self.is_leaving || !self.backoff_until.is_zero()
+        self.is_draining || !self.backoff_until.is_zero()
     }
 }
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -65,7 +65,7 @@
 const SLOW_POLL: Duration = Duration::from_millis(25);
 /// Time after an order for which [`FAST_POLL`] holds.
 const FAST_SPAN: Duration = Duration::from_millis(60);
-/// Pause between reports while nothing is on its way; tells of a leaving or restarted engine.
+/// Pause between reports while nothing is on its way; shows a draining or restarted engine.
 const IDLE_POLL: Duration = Duration::from_millis(500);
 /// Pause after an engine did not answer.
 const DARK_POLL: Duration = Duration::from_millis(250);
@@ -383,7 +383,7 @@
             return LoaderStep::Wait(self.not_before.min(self.next_poll));
         }
         let Some(report) = &self.report else { return LoaderStep::Poll };
-        let verb = if report.is_leaving || report.is_busy { None } else { self.next_order(now) };
+        let verb = if report.is_draining || report.is_busy { None } else { self.next_order(now) };
         match verb {
             Some(verb) => {
                 let order_count = report.order_count;
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -2,7 +2,7 @@
 //!
 //! A router that asks is answered at once. Nobody else is told anything, but for two pieces of news that
 //! cannot wait for a question: an adapter has come for which calls of the router wait, and the engine has
-//! become silent, leaves or has started again.
+//! become silent, drains or has started again.
 
 use super::LoaderMachine;
 use crate::{direct::membership::TargetIncarnation, ids::Timestamp};
@@ -17,7 +17,7 @@
 pub(super) struct EngineState {
     incarnation: TargetIncarnation,
     is_answering: bool,
-    is_leaving: bool,
+    is_draining: bool,
 }
 
 /// What a router was last told of the adapters for which its calls wait.
@@ -45,11 +45,11 @@
     }
 
     fn engine_state(&self) -> Option<EngineState> {
-        let is_leaving = self.report.as_ref()?.is_leaving;
+        let is_draining = self.report.as_ref()?.is_draining;
         Some(EngineState {
             incarnation: self.incarnation()?,
             is_answering: self.is_answering,
-            is_leaving,
+            is_draining,
         })
     }
 
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -32,7 +32,7 @@
             sequence: self.sequence,
             incarnation,
             is_answering: self.is_answering,
-            is_leaving: report.is_leaving,
+            is_draining: report.is_draining,
             rates: self.rates(&report.holdings, now),
             room: self.room(report, &awaited, now),
             holdings: report.holdings.clone(),
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -109,8 +109,9 @@
     /// Grows from target to target: the later of two that were listed at one address has the higher
     /// number.
     pub generation: u64,
-    /// Whether it is leaving and takes no new work.
-    pub is_leaving: bool,
+    /// Whether it is draining and takes no new work.
+    #[serde(rename = "is_leaving")]
+    pub is_draining: bool,
     /// Time for which it stays slow after its start.
     pub cold: Duration,
     /// What it holds, if it is an engine.
@@ -139,13 +140,13 @@
             zone,
             slots,
             generation,
-            is_leaving,
+            is_draining,
             cold,
             holdings,
         } = self;
         let bases: Vec<_> =
             holdings.iter().map(|holding| (&holding.base, holding.version)).collect();
-        (incarnation, service, address, zone, slots, generation, is_leaving, cold, bases)
+        (incarnation, service, address, zone, slots, generation, is_draining, cold, bases)
     }
 }
 
@@ -248,8 +249,8 @@
 
     fn remove(&mut self, id: &InstanceId, now: Timestamp) {
         let is_held = self.is_out || now < self.hold_until;
-        let is_leaving = self.entries.get(id).is_none_or(|entry| entry.is_leaving);
-        if is_held && !is_leaving {
+        let is_draining = self.entries.get(id).is_none_or(|entry| entry.is_draining);
+        if is_held && !is_draining {
             let until = self.hold_until.max(now);
             self.lapsed.entry(Arc::clone(id)).or_insert(until);
         } else {
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -115,8 +115,9 @@
     pub incarnation: TargetIncarnation,
     /// Whether the engine answers the loader.
     pub is_answering: bool,
-    /// Whether the engine is leaving.
-    pub is_leaving: bool,
+    /// Whether the engine is draining.
+    #[serde(rename = "is_leaving")]
+    pub is_draining: bool,
     /// What the engine holds.
     pub holdings: Vec<BaseHolding>,
     /// How often each of their adapters is wanted here, as [`encode_rate`] gives it, in the same order.
--- a/crates/core/src/direct/orders.rs
+++ b/crates/core/src/direct/orders.rs
@@ -23,8 +23,8 @@
     pub queued: u16,
     /// Tokens of memory in use that cannot be given up.
     pub kv_used: u32,
-    /// Whether the engine is leaving.
-    pub is_leaving: bool,
+    /// Whether the engine is draining.
+    pub is_draining: bool,
     /// When this incarnation of the engine started, as in [`TargetIncarnation`]; the answer to a health check
     /// tells the id.
     pub started: Option<u64>,
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -23,8 +23,8 @@
     pub instance: Option<InstanceId>,
     /// What it says of the requests that the target takes.
     pub limit: AdvertisedLimit,
-    /// Whether it says that the target leaves.
-    pub is_leaving: bool,
+    /// Whether it says that the target drains.
+    pub is_draining: bool,
     /// For how long it asks callers to back off.
     pub backoff: Option<Duration>,
 }
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -158,7 +158,7 @@
     let copies = 1 + (rate / CALLS_PER_COPY) as usize;
     let key = adapter_key(adapter);
     let usable = pool.service_targets(need.service).filter(|target| {
-        !target.is_leaving()
+        !target.is_draining()
             && !target.has_ended()
             && !target.is_backing_off(now)
             && !target.health.is_backing_off(now)
@@ -184,7 +184,7 @@
 }
 
 fn is_alive(target: &TargetState, need: &CallNeed<'_>, now: Timestamp) -> bool {
-    !target.is_leaving()
+    !target.is_draining()
         && !target.has_ended()
         && !target.is_backing_off(now)
         && !target.is_dark(now)
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -10,7 +10,7 @@
 const DENIALS: u32 = 2;
 /// Time for which an upstream that was left is not asked; one that has ended is not named any more after it.
 const AVOID_TIME: Duration = Duration::from_secs(3);
-/// Part of the time in which a leaving target must get no more calls for which others rely on a watcher that
+/// Part of the time in which a draining target must get no more calls for which others rely on a watcher that
 /// has no word of the store. The store may fall silent to one router and serve the rest: its connections stay
 /// open, and its own watches take seconds to run out.
 const WATCHER_FRESH_SHARE: f64 = 0.75;
@@ -68,7 +68,7 @@
     pub is_listed: bool,
     /// Up to when it knows all changes.
     pub heard_at: Timestamp,
-    /// Time from a target's leaving to the last call that may reach it.
+    /// Time from the start of a target's draining to the last call that may reach it.
     pub drain_time: Duration,
 }
 
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -185,7 +185,7 @@
 
     /// Whether it is an engine that holds no base model.
     pub fn is_empty_engine(&self, now: Timestamp) -> bool {
-        !self.is_leaving() && !self.has_ended() && self.holdings(now).is_empty()
+        !self.is_draining() && !self.has_ended() && self.holdings(now).is_empty()
     }
 
     /// Whether calls of this router run here or wait for adapters, or adapters are wanted ahead of calls.
@@ -218,10 +218,10 @@
         })
     }
 
-    /// Whether it is leaving, by the list, by its loader, or by its own word.
-    pub fn is_leaving(&self) -> bool {
-        let by_loader = self.loader.as_ref().is_some_and(|view| view.report.is_leaving);
-        self.entry.is_leaving || by_loader || self.advertised.is_leaving
+    /// Whether it is draining, by the list, by its loader, or by its own answers.
+    pub fn is_draining(&self) -> bool {
+        let by_loader = self.loader.as_ref().is_some_and(|view| view.report.is_draining);
+        self.entry.is_draining || by_loader || self.advertised.is_draining
     }
 
     /// Whether it has asked for no requests now.
--- a/crates/core/src/direct/targets/advertised.rs
+++ b/crates/core/src/direct/targets/advertised.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl TargetPool {
-    /// A target's answer says that it leaves; returns whether that is news.
+    /// A target's answer says that it drains; returns whether that is new.
     pub fn record_draining(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
         self.update_advertised(incarnation, |advertised| advertised.record_draining(now))
     }
@@ -28,7 +28,7 @@
     pub fn backoff_left(&self, service: &str, now: Timestamp) -> Option<Duration> {
         let alive = self
             .service_targets(service)
-            .filter(|target| !target.is_leaving() && !target.has_ended() && !target.is_dark(now));
+            .filter(|target| !target.is_draining() && !target.has_ended() && !target.is_dark(now));
         let first = alive.map(|target| target.advertised.backoff_until).min()?;
         Some(first.saturating_sub(now)).filter(|left| !left.is_zero())
     }
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -235,7 +235,7 @@
             ends: false,
             remains: false,
         },
-        PhaseCase { phase: IncarnationPhase::Leaving, after: second, ends: false, remains: false },
+        PhaseCase { phase: IncarnationPhase::Draining, after: second, ends: false, remains: false },
     ];
     for PhaseCase { phase, after, ends, remains } in cases {
         let mut runs = UnresolvedRuns::default();
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -30,7 +30,7 @@
         declares_not_run: false,
         instance: instance.map(Into::into),
         limit: AdvertisedLimit::Unlimited,
-        is_leaving: true,
+        is_draining: true,
         backoff: None,
     }
 }
@@ -49,7 +49,7 @@
     ];
     for (name, head, is_heard) in cases {
         assert_eq!(advertises_draining(&head, &"d1".into()), is_heard, "{name}");
-        let silent = AnswerHead { is_leaving: false, ..head };
+        let silent = AnswerHead { is_draining: false, ..head };
         assert!(!advertises_draining(&silent, &"d1".into()), "{name}, without the word");
     }
 }
@@ -57,13 +57,13 @@
 /// What a target has said, by itself and not by what a router makes of it.
 #[derive(Clone, Copy, Debug, Default)]
 struct SaidSoFar {
-    is_leaving: bool,
+    is_draining: bool,
     backoff_until: Duration,
 }
 
 impl SaidSoFar {
     fn takes_calls(self, now: Duration) -> bool {
-        !self.is_leaving && now >= self.backoff_until
+        !self.is_draining && now >= self.backoff_until
     }
 }
 
@@ -129,7 +129,7 @@
                 self.pool.take_report(host, report, self.now);
             }
             7 if self.random.random_bool(0.3) => {
-                self.said.entry(incarnation.clone()).or_default().is_leaving = true;
+                self.said.entry(incarnation.clone()).or_default().is_draining = true;
                 self.pool.record_draining(&incarnation, self.now);
             }
             8 => {
--- a/crates/core/tests/core/direct/membership.rs
+++ b/crates/core/tests/core/direct/membership.rs
@@ -34,9 +34,9 @@
 /// A target that was leaving before the outage is gone when its entry is: holding it would send work
 /// to a target that has exited.
 #[test]
-fn a_leaving_target_is_not_held() {
+fn a_draining_target_is_not_held() {
     let mut list = TargetList::default();
-    let leaving = TargetEntry { is_leaving: true, ..target("d1", DESK, "a", 1) };
+    let leaving = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 1) };
     list.replace(vec![Arc::new(leaving)], ms(0));
     list.note_outage();
     list.note_contact(ms(4_000));
--- a/crates/core/tests/core/direct/proof.rs
+++ b/crates/core/tests/core/direct/proof.rs
@@ -126,7 +126,7 @@
             declares_not_run: case.not_run,
             instance: None,
             limit: AdvertisedLimit::Unlimited,
-            is_leaving: false,
+            is_draining: false,
             backoff: None,
         };
         assert_eq!(classify_answer("c1", &head), case.proof, "{}", case.name);
@@ -166,7 +166,7 @@
             declares_not_run: false,
             instance: None,
             limit: case.stated,
-            is_leaving: false,
+            is_draining: false,
             backoff: None,
         };
         assert_eq!(limit_from_answer(case.proof, &head), case.word, "{}", case.name);
@@ -285,7 +285,7 @@
             declares_not_run,
             instance: None,
             limit: AdvertisedLimit::Unlimited,
-            is_leaving: false,
+            is_draining: false,
             backoff: None,
         };
         match self {
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -309,7 +309,7 @@
         UnusableCase {
             name: "leaving by the list",
             spoil: |pool| {
-                let entry = TargetEntry { is_leaving: true, ..target("d1", DESK, "a", 4) };
+                let entry = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 4) };
                 pool.apply_changes(&[ListChange::Put(Arc::new(entry))], ms(0));
             },
         },
@@ -320,7 +320,7 @@
         UnusableCase {
             name: "leaving by its loader",
             spoil: |pool| {
-                let leaving = LoaderReport { is_leaving: true, ..report("d1", 1, &[]) };
+                let leaving = LoaderReport { is_draining: true, ..report("d1", 1, &[]) };
                 take_report(pool, leaving, ms(0));
             },
         },
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -220,7 +220,7 @@
         case("adapters", ChangeImportance::Hint, |entry| {
             entry.holdings[0].adapters.insert("a1".into(), 2);
         }),
-        case("leaving", needed, |entry| entry.is_leaving = true),
+        case("leaving", needed, |entry| entry.is_draining = true),
         case("address", needed, |entry| entry.address.set_port(9)),
         case("another life", needed, |entry| entry.incarnation.started = Some(7)),
         case("another base model", needed, |entry| entry.holdings[0].base = "other".into()),
--- a/crates/core/tests/core/direct/support.rs
+++ b/crates/core/tests/core/direct/support.rs
@@ -42,7 +42,7 @@
         zone: zone.into(),
         slots: 8,
         generation: u64::from(port),
-        is_leaving: false,
+        is_draining: false,
         cold: Duration::ZERO,
         holdings: if is_engine { vec![holding(&[])] } else { Vec::new() },
     }
@@ -103,7 +103,7 @@
         sequence,
         incarnation: id.into(),
         is_answering: true,
-        is_leaving: false,
+        is_draining: false,
         holdings: vec![holding(adapters)],
         rates: Vec::new(),
         room: 4,
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -235,7 +235,7 @@
         ListChange::Removed(_) => true,
         ListChange::Put(entry) => {
             let known = pool.target(&entry.incarnation);
-            known.is_none_or(|known| known.entry.is_leaving != entry.is_leaving)
+            known.is_none_or(|known| known.entry.is_draining != entry.is_draining)
         }
     }
 }
@@ -252,11 +252,11 @@
                     "started" => entry.incarnation.started,
                     "address" => %entry.address, "generation" => entry.generation);
             }
-            Some(known) if entry.is_leaving && !known.entry.is_leaving => {
+            Some(known) if entry.is_draining && !known.entry.is_draining => {
                 info!(logger, "target leaves"; "step" => "targets", "target" => &*entry.incarnation.id,
                     "started" => entry.incarnation.started);
             }
-            Some(known) if known.entry.is_leaving && !entry.is_leaving => {
+            Some(known) if known.entry.is_draining && !entry.is_draining => {
                 info!(logger, "target stays"; "step" => "targets", "target" => &*entry.incarnation.id,
                     "started" => entry.incarnation.started);
             }
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -73,7 +73,7 @@
             let pool = self.pool.borrow();
             let phase = |incarnation: &TargetIncarnation| match pool.target(incarnation) {
                 None => IncarnationPhase::Ended,
-                Some(target) if target.is_leaving() => IncarnationPhase::Leaving,
+                Some(target) if target.is_draining() => IncarnationPhase::Draining,
                 Some(target) if target.has_ended() || target.is_dark(now) => {
                     IncarnationPhase::Ended
                 }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -263,7 +263,7 @@
 /// The targets beside whose loaders the routers of a zone meet.
 fn zone_meeting(context: &RouterContext, zone: &ZoneName) -> Vec<InstanceId> {
     let pool = context.pool.borrow();
-    let alive = pool.engines().filter(|target| !target.is_leaving() && !target.has_ended());
+    let alive = pool.engines().filter(|target| !target.is_draining() && !target.has_ended());
     let alive = alive.map(|target| (&target.entry.incarnation.id, &target.entry.zone));
     meeting_targets(zone, alive)
 }
--- a/crates/daemon/src/router/statements.rs
+++ b/crates/daemon/src/router/statements.rs
@@ -16,7 +16,7 @@
     pub(crate) fn is_open(&self, incarnation: &TargetIncarnation) -> bool {
         let (pool, now) = (self.pool.borrow(), clock::now());
         pool.target(incarnation)
-            .is_none_or(|target| !target.is_leaving() && !target.is_backing_off(now))
+            .is_none_or(|target| !target.is_draining() && !target.is_backing_off(now))
     }
 
     /// Time until a target of a service may take requests again, if all have asked for none.
