--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -116,7 +116,8 @@
     /// Room for weights and adapters in MB.
     pub memory_mb: f64,
     /// Adapters held at once, those on their way counted.
-    pub adapter_places: usize,
+    #[serde(rename = "adapter_places")]
+    pub adapter_slots: usize,
     /// Base models that may be asked for.
     pub bases: Vec<BaseSpec>,
 }
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -55,7 +55,7 @@
 /// Shortest pause between calls of a router that ask whether the store is back, where others tell it.
 const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
 /// Part of such a pause for each router that asks before it.
-const PLACE_PAUSE: Duration = Duration::from_millis(250);
+const POSITION_PAUSE: Duration = Duration::from_millis(250);
 
 /// Routers of the largest fleet.
 const LARGEST_FLEET: usize = 1_024;
@@ -203,8 +203,8 @@
         if self.near.upstream(own, |_| true).is_none() {
             return Duration::ZERO;
         }
-        let place = self.near.place(own).unwrap_or(self.zone_routers);
-        PROBE_PAUSE.max(PLACE_PAUSE.saturating_mul(u32::try_from(place).unwrap_or(u32::MAX)))
+        let position = self.near.position(own).unwrap_or(self.zone_routers);
+        PROBE_PAUSE.max(POSITION_PAUSE.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX)))
     }
 }
 
--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -1,4 +1,4 @@
-//! How well a target did lately, from what its calls met. Health checks cost a place at the target
+//! How well a target did lately, from what its calls met. Health checks cost a slot at the target
 //! and stay good while a target fails part of its calls, so the calls themselves are the evidence.
 
 use crate::ids::Timestamp;
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -43,7 +43,7 @@
 /// for the runs of the adapter, and all other loads of the engine wait for the unload, so this is the last
 /// resort: at 0.4 s, an engine whose runs had become slow stood still most of the time.
 const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Half-life of the demand by which adapters are kept. An engine has some 14 places and loads a dozen
+/// Half-life of the demand by which adapters are kept. An engine has some 14 slots and loads a dozen
 /// rare adapters a second: kept by their last use, even those wanted twice a second would be gone before
 /// their next call. Popularity moves within some seconds, so the memory must not be longer.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(5);
--- a/crates/core/src/direct/loader/lost_orders.rs
+++ b/crates/core/src/direct/loader/lost_orders.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 /// Time after which an order that got no answer is taken to be gone for good. They are carried out some
-/// seconds late; this is several times that, and costs one place of an engine for as long.
+/// seconds late; this is several times that, and costs one slot of an engine for as long.
 const LOST_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
@@ -49,9 +49,9 @@
         self.orders.retain(|order| now.saturating_sub(order.given) < LOST_TTL);
     }
 
-    /// Places that loads lost in earlier incarnations under the same id may yet take from an engine that has
+    /// Slots that loads lost in earlier incarnations under the same id may yet take from an engine that has
     /// reached `order_count`. Of those at one count at most one takes effect.
-    pub(super) fn places(&self, id: &InstanceId, order_count: u64) -> usize {
+    pub(super) fn slots(&self, id: &InstanceId, order_count: u64) -> usize {
         let earlier = self.orders.iter().filter(|order| {
             order.incarnation_number != self.incarnation_number
                 && order.id == *id
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -31,7 +31,7 @@
             return self.wanted_base().map(OrderVerb::LoadBase);
         }
         let newest = self.notices.values().max_by_key(|state| state.received)?;
-        let places = usize::from(newest.notice.adapter_places);
+        let slots = usize::from(newest.notice.adapter_slots);
         if report.coming.len() >= TRANSIT_LIMIT {
             return None;
         }
@@ -41,8 +41,8 @@
             load_requests.iter().find(|(request, _)| self.may_begin(request, far))?;
         let adapter = requested_adapter(request);
         let is_replacement = report.held(&adapter).is_some();
-        let reserved = self.reserved_places(report);
-        if is_replacement || report.occupied() + reserved < places {
+        let reserved = self.reserved_slots(report);
+        if is_replacement || report.occupied() + reserved < slots {
             return Some(OrderVerb::LoadAdapter(adapter, request.version));
         }
         self.victim(report, request, now.saturating_sub(*since), now).map(OrderVerb::UnloadAdapter)
@@ -62,9 +62,9 @@
         far < self.transit.window() && (request.waiting > 0 || !self.transit.is_congested())
     }
 
-    /// Places kept free for loads that an earlier incarnation of the engine never answered.
-    fn reserved_places(&self, report: &EngineReport) -> usize {
-        self.instance.as_ref().map_or(0, |id| self.lost.places(id, report.order_count))
+    /// Slots kept free for loads that an earlier incarnation of the engine never answered.
+    fn reserved_slots(&self, report: &EngineReport) -> usize {
+        self.instance.as_ref().map_or(0, |id| self.lost.slots(id, report.order_count))
     }
 
     /// The base model to put on an empty engine: the one that most calls wait for, else the first.
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -34,7 +34,7 @@
             is_answering: self.is_answering,
             is_draining: report.is_draining,
             rates: self.rates(&report.holdings, now),
-            room: self.room(report, &awaited, now),
+            free_slots: self.free_slots(report, &awaited, now),
             holdings: report.holdings.clone(),
             coming: coming.collect(),
             load_ms: as_millis(self.transit.expected()),
@@ -52,15 +52,15 @@
         started + f64::from(self.waiting_calls(adapter))
     }
 
-    /// Places that are free or held by adapters that nobody uses, less the loads that wait for one.
-    fn room(&self, report: &EngineReport, awaited: &[&LoadRequest], now: Timestamp) -> i32 {
+    /// Slots that are free or held by adapters that nobody uses, less the loads that wait for one.
+    fn free_slots(&self, report: &EngineReport, awaited: &[&LoadRequest], now: Timestamp) -> i32 {
         let newest = self.notices.values().max_by_key(|state| state.received);
-        let places = newest.map_or(0, |state| usize::from(state.notice.adapter_places));
+        let slots = newest.map_or(0, |state| usize::from(state.notice.adapter_slots));
         let running = self.running();
         let all = report.settled_adapters();
         let idle = all.filter(|id| self.uses(id, &running, now) == 0).count();
         let taken = report.occupied() + awaited.len();
-        i32::from((places + idle) as u16) - i32::from(taken as u16)
+        i32::from((slots + idle) as u16) - i32::from(taken as u16)
     }
 
     fn rates(&self, holdings: &[BaseHolding], now: Timestamp) -> Vec<u16> {
--- a/crates/core/src/direct/loader/transit.rs
+++ b/crates/core/src/direct/loader/transit.rs
@@ -34,7 +34,7 @@
 /// host's memory, which is ten times as fast.
 const NEAR_GAP: f64 = 3.0;
 /// Loads after which a loader that started beside a running engine knows what the host has in its memory:
-/// as many as push out all that was there before. Hosts hold some six times the places of an engine.
+/// as many as push out all that was there before. Hosts hold some six times the slots of an engine.
 const UNKNOWN_LOADS: usize = 128;
 /// Time of a load before any was seen: an assumption, replaced by the first sample.
 const PRIOR: Duration = Duration::from_millis(250);
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -87,8 +87,9 @@
     /// The target that the router believes to stand beside the loader.
     #[serde(rename = "life")]
     pub incarnation: TargetIncarnation,
-    /// Room for adapters at an engine of the service.
-    pub adapter_places: u16,
+    /// Adapter slots of an engine of the service.
+    #[serde(rename = "adapter_places")]
+    pub adapter_slots: u16,
     /// Room for weights and adapters in MB.
     pub memory_mb: f32,
     /// Base models of the service; told with the first notice, and while the engine is believed to hold none.
@@ -124,9 +125,10 @@
     ///
     /// [`encode_rate`]: super::demand::encode_rate
     pub rates: Vec<u16>,
-    /// Adapters that could be loaded at once, without waiting for runs to end; below 0 where calls wait
-    /// for places already.
-    pub room: i32,
+    /// Adapters that could be loaded at once, without waiting for runs to end; below 0 where calls wait for
+    /// slots already.
+    #[serde(rename = "room")]
+    pub free_slots: i32,
     /// Adapters on their way, or being replaced.
     pub coming: Vec<(BaseName, AdapterName)>,
     /// Expected time in ms of a load from the weight store.
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -77,7 +77,7 @@
     ) -> Option<RouterNotice> {
         let target = pool.target(incarnation)?;
         let spec = pool.engine_of(target)?;
-        let (adapter_places, memory_mb) = (spec.adapter_places as u16, spec.memory_mb as f32);
+        let (adapter_slots, memory_mb) = (spec.adapter_slots as u16, spec.memory_mb as f32);
         let is_empty = target.is_empty_engine(now);
         let last = self.sent.get(incarnation).copied();
         let is_offer = is_empty || last.is_none();
@@ -98,7 +98,7 @@
             boot: self.boot,
             sequence: self.sequence,
             incarnation: incarnation.clone(),
-            adapter_places,
+            adapter_slots,
             memory_mb,
             bases,
             load_requests: target.load_requests(now),
--- a/crates/core/src/direct/orders.rs
+++ b/crates/core/src/direct/orders.rs
@@ -48,7 +48,7 @@
         all.filter(|id| !self.is_coming(id))
     }
 
-    /// Places taken by adapters held and by those on their way.
+    /// Slots taken by adapters held and by those on their way.
     pub fn occupied(&self) -> usize {
         let held: usize = self.holdings.iter().map(|holding| holding.adapters.len()).sum();
         held + self.coming.iter().filter(|(id, _)| self.held(id).is_none()).count()
--- a/crates/core/src/direct/pressure.rs
+++ b/crates/core/src/direct/pressure.rs
@@ -2,11 +2,11 @@
 //!
 //! Pattern: a service loses some of its targets, or many callers come at once, and calls arrive faster
 //! than the rest can work. A target's own queue then stays full: as many calls are served as with a
-//! short one, but all of them late. With 6 places, a queue of 24 and 30 ms a call, the wait is 120 ms,
+//! short one, but all of them late. With 6 slots, a queue of 24 and 30 ms a call, the wait is 120 ms,
 //! which with the work itself is the whole of a 150 ms objective. Turning away what is too much at once
 //! keeps the wait short for the others, and tells those turned away at once when to come back.
 //!
-//! Many routers share few places, so that most have less than one call in flight at a target: a limit
+//! Many routers share few slots, so that most have less than one call in flight at a target: a limit
 //! on calls in flight would not bind. Each turns away a share of its calls instead, by what it sees.
 
 use crate::ids::Timestamp;
@@ -27,7 +27,7 @@
 const SHED_SLOPE: f64 = 2.0;
 /// Weight of a new sample of the calls at a service's targets; a router has some ten calls a second.
 const CONCURRENCY_WEIGHT: f64 = 0.1;
-/// Part of the targets' places from which calls are taken to wait: they are not spread evenly.
+/// Part of the targets' slots from which calls are taken to wait: they are not spread evenly.
 const QUEUE_SHARE: f64 = 0.8;
 /// Largest share turned away: some calls must go through, or nothing would be learnt.
 const SHED_LIMIT: f64 = 0.8;
@@ -68,10 +68,10 @@
     }
 
     /// Whether calls wait at the targets, as far as can be told: whether those of all routers together,
-    /// taken to be like this one, come near the targets' places. Without this, targets that have become
-    /// slow would look overloaded, and callers be turned away from places that are free.
-    pub fn shows_queue(&self, routers: usize, places: u32) -> bool {
-        self.calls * routers as f64 >= f64::from(places) * QUEUE_SHARE
+    /// taken to be like this one, come near the targets' slots. Without this, targets that have become
+    /// slow would look overloaded, and callers be turned away from slots that are free.
+    pub fn shows_queue(&self, routers: usize, slots: u32) -> bool {
+        self.calls * routers as f64 >= f64::from(slots) * QUEUE_SHARE
     }
 }
 
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -7,7 +7,7 @@
     membership::TargetIncarnation,
     target::TargetState,
     targets::TargetPool,
-    waits::place_ms,
+    waits::slot_wait_ms,
 };
 use crate::{
     ids::{AdapterVersion, ServiceName, Timestamp, ZoneName},
@@ -247,7 +247,9 @@
     let turns = queued + u32::from(is_full);
     // A full engine puts calls back when its memory runs out, and reads their prompts anew.
     let again = if is_full { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
-    f64::from(active) * ACTIVE_MS + f64::from(turns) * pool.usual().turn_ms(spec.batch) + again
+    f64::from(active) * ACTIVE_MS
+        + f64::from(turns) * pool.wait_estimates().batch_wait_ms(spec.batch)
+        + again
 }
 
 fn stall_cost(
@@ -265,15 +267,15 @@
     let stray =
         match preferred.iter().position(|incarnation| *incarnation == target.entry.incarnation) {
             Some(index) if index + 1 < preferred.len() => 0.0,
-            Some(_) => SPARE_LOADS * pool.usual().load_ms(),
-            None => STRAY_LOADS * pool.usual().load_ms(),
+            Some(_) => SPARE_LOADS * pool.wait_estimates().load_ms(),
+            None => STRAY_LOADS * pool.wait_estimates().load_ms(),
         };
     if target.is_silent(now) {
         return stray + NO_LOADER_MS;
     }
     let stray = stray + if target.is_crowded(now) { CROWDED_LOAD_MS } else { 0.0 };
     let Some(report) = target.fresh_report(now) else {
-        return stray + pool.usual().load_ms() + pool.usual().queue_ms();
+        return stray + pool.wait_estimates().load_ms() + pool.wait_estimates().queue_ms();
     };
     let load = f64::from(report.load_ms);
     if target.is_coming(adapter, now) {
@@ -284,8 +286,8 @@
     stray + load + queue
 }
 
-/// Wait for a place for an adapter that must be loaded. It counts only where a call does not wait yet:
-/// one that does has its turn, and would lose it each time that places come and go elsewhere.
+/// Wait for a slot for an adapter that must be loaded. It counts only where a call does not wait yet:
+/// one that does has its turn, and would lose it each time that slots come and go elsewhere.
 fn place_cost(
     pool: &TargetPool,
     target: &TargetState,
@@ -295,5 +297,9 @@
     let is_needed = adapter.is_some_and(|adapter| {
         target.held_version(adapter, now).is_none() && !target.is_coming(adapter, now)
     });
-    if is_needed { target.fresh_report(now).map_or(pool.usual().place_ms(), place_ms) } else { 0.0 }
+    if is_needed {
+        target.fresh_report(now).map_or(pool.wait_estimates().slot_wait_ms(), slot_wait_ms)
+    } else {
+        0.0
+    }
 }
--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -173,15 +173,15 @@
 /// The latest change of each object, newest first. It is required if an earlier change of the object was.
 fn latest_of_each<'a>(newest_first: impl Iterator<Item = &'a LoggedChange>) -> Vec<LoggedChange> {
     let mut latest: Vec<LoggedChange> = Vec::new();
-    let mut places = HashMap::new();
+    let mut positions = HashMap::new();
     for logged in newest_first {
-        match places.entry(logged.change.key()) {
-            Entry::Vacant(place) => {
-                place.insert(latest.len());
+        match positions.entry(logged.change.key()) {
+            Entry::Vacant(position) => {
+                position.insert(latest.len());
                 latest.push(logged.clone());
             }
-            Entry::Occupied(place) if logged.importance == ChangeImportance::Required => {
-                latest[*place.get()].importance = ChangeImportance::Required;
+            Entry::Occupied(position) if logged.importance == ChangeImportance::Required => {
+                latest[*position.get()].importance = ChangeImportance::Required;
             }
             Entry::Occupied(_) => {}
         }
--- a/crates/core/src/direct/sharing/order.rs
+++ b/crates/core/src/direct/sharing/order.rs
@@ -46,8 +46,8 @@
         self.first.iter().map(|router| router.address)
     }
 
-    /// Place of a router among the first; `None` if it is behind them all.
-    pub fn place(&self, router: SocketAddr) -> Option<usize> {
+    /// Position of a router among the first; `None` if it is behind them all.
+    pub fn position(&self, router: SocketAddr) -> Option<usize> {
         self.first.iter().position(|first| first.address == router)
     }
 
@@ -56,7 +56,7 @@
     /// Each router goes by those that it has been named so far, so that some more than [`FIRST_READERS`] read: the
     /// logarithm of all.
     pub fn bootstrap_upstream(&self, own: SocketAddr) -> Option<SocketAddr> {
-        let is_reader = self.place(own).is_some_and(|place| place < FIRST_READERS);
+        let is_reader = self.position(own).is_some_and(|position| position < FIRST_READERS);
         if is_reader { None } else { self.upstream(own, |_| true) }
     }
 
@@ -73,7 +73,7 @@
             |router: &&RankedRouter| router.rank > own_rank && is_usable(&router.address);
         let ahead: Vec<&RankedRouter> = self.first.iter().filter(is_ahead).collect();
         let chosen = match &ahead[..] {
-            [_, relays @ ..] if !relays.is_empty() && self.place(own).is_none() => {
+            [_, relays @ ..] if !relays.is_empty() && self.position(own).is_none() => {
                 let weight = |router: &&&RankedRouter| {
                     xxh3_64_with_seed(&router.rank.to_le_bytes(), own_rank)
                 };
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -145,7 +145,7 @@
         let is_after = |since: Timestamp, share: f64| {
             now.saturating_sub(since) >= view.drain_time.mul_f64(share)
         };
-        let own_share = match view.order.place(self.own) {
+        let own_share = match view.order.position(self.own) {
             Some(_) => RELAY_FRESH_SHARE,
             None => LAST_FRESH_SHARE,
         };
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -15,7 +15,7 @@
     messages::{BaseOffer, LoaderReport},
     pressure::ConcurrencyGauge,
     target::{LoadRequestState, TargetState},
-    waits::UsualWaits,
+    waits::WaitEstimates,
 };
 use crate::ids::{AdapterVersion, ServiceName, Timestamp};
 use std::{
@@ -35,7 +35,7 @@
     releases: HashMap<AdapterId, AdapterVersion>,
     demand: FleetDemand,
     concurrency: HashMap<ServiceName, ConcurrencyGauge>,
-    usual: UsualWaits,
+    wait_estimates: WaitEstimates,
     /// Targets that have left the list, and may come back in the same incarnation.
     departed: HashMap<LimitTag, DepartedTarget>,
 }
@@ -57,7 +57,7 @@
             releases: HashMap::new(),
             demand: FleetDemand::default(),
             concurrency: HashMap::new(),
-            usual: UsualWaits::default(),
+            wait_estimates: WaitEstimates::default(),
             departed: HashMap::new(),
         }
     }
@@ -163,8 +163,8 @@
     }
 
     /// What loaders have told lately of loads, for engines of which nothing is known.
-    pub fn usual(&self) -> &UsualWaits {
-        &self.usual
+    pub fn wait_estimates(&self) -> &WaitEstimates {
+        &self.wait_estimates
     }
 
     /// Wants a report of a target's loader; returns whether that is a new question.
@@ -198,7 +198,7 @@
         if is_old {
             return false;
         }
-        self.usual.record(&report);
+        self.wait_estimates.record(&report);
         self.demand.take_report(&report, now);
         let Some(target) = self.target_mut(&report.incarnation) else { return false };
         target.take_report(report, now);
@@ -247,9 +247,9 @@
     /// Whether calls wait at a service's targets, with `routers` routers in all.
     pub fn shows_queue(&self, service: &str, routers: usize) -> bool {
         let alive = self.service_targets(service).filter(|target| !target.has_ended());
-        let places = alive.map(|target| target.entry.slots).sum();
+        let slots = alive.map(|target| target.entry.slots).sum();
         let gauge = self.concurrency.get(service);
-        gauge.is_some_and(|gauge| gauge.shows_queue(routers, places))
+        gauge.is_some_and(|gauge| gauge.shows_queue(routers, slots))
     }
 
     /// How much adapters are wanted over the fleet.
@@ -291,7 +291,7 @@
     /// A call's answer has ended that came `time` after its sending.
     pub fn run_ended(&mut self, incarnation: &TargetIncarnation, time: Duration) {
         if self.target(incarnation).is_some_and(|target| self.engine_of(target).is_some()) {
-            self.usual.record_run(time);
+            self.wait_estimates.record_run(time);
         }
     }
 
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -18,32 +18,32 @@
 const PRIOR_RUN_MS: f64 = 400.0;
 /// Share of a new run in the mean: a router sees some ten a second, long and short ones.
 const RUN_WEIGHT: f64 = 0.05;
-/// Wait for each load before this one that waits for a place at an engine all of whose adapters are in use.
-/// Runs last 0.4 s on the mean, and of ten adapters in use some two are shared by other calls, so that a
-/// place comes free about this often.
-const PLACE_MS: f64 = 60.0;
+/// Wait for each load before this one that waits for a slot at an engine all of whose adapters are in use.
+/// Runs last 0.4 s on the mean, and of ten adapters in use some two are shared by other calls, so that a slot
+/// comes free about this often.
+const SLOT_MS: f64 = 60.0;
 
 /// Means over the reports of all loaders and this router's runs at all engines, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct UsualWaits {
+pub struct WaitEstimates {
     run: f64,
     load: f64,
-    place: f64,
+    slot: f64,
     queue: f64,
 }
 
-impl Default for UsualWaits {
+impl Default for WaitEstimates {
     fn default() -> Self {
-        Self { run: PRIOR_RUN_MS, load: PRIOR_LOAD_MS, place: 0.0, queue: 0.0 }
+        Self { run: PRIOR_RUN_MS, load: PRIOR_LOAD_MS, slot: 0.0, queue: 0.0 }
     }
 }
 
-impl UsualWaits {
+impl WaitEstimates {
     /// Takes what a loader tells.
     pub fn record(&mut self, report: &LoaderReport) {
         let blend = |mean: &mut f64, told: f64| *mean += REPORT_WEIGHT * (told - *mean);
         blend(&mut self.load, f64::from(report.load_ms));
-        blend(&mut self.place, place_ms(report));
+        blend(&mut self.slot, slot_wait_ms(report));
         blend(&mut self.queue, f64::from(report.queue_ms));
     }
 
@@ -52,9 +52,9 @@
         self.run += RUN_WEIGHT * (time.as_secs_f64() * 1_000.0 - self.run);
     }
 
-    /// Time after which the next place of a full batch of `places` comes free, in milliseconds.
-    pub fn turn_ms(&self, places: u32) -> f64 {
-        self.run / f64::from(places.max(1))
+    /// Time after which the next slot of a full batch of `slots` comes free, in milliseconds.
+    pub fn batch_wait_ms(&self, slots: u32) -> f64 {
+        self.run / f64::from(slots.max(1))
     }
 
     /// Time of a load from the weight store, in milliseconds.
@@ -62,9 +62,9 @@
         self.load
     }
 
-    /// Wait for a place for an adapter, in milliseconds.
-    pub fn place_ms(&self) -> f64 {
-        self.place
+    /// Wait for a slot for an adapter, in milliseconds.
+    pub fn slot_wait_ms(&self) -> f64 {
+        self.slot
     }
 
     /// Wait before a load may begin, in milliseconds.
@@ -73,7 +73,7 @@
     }
 }
 
-/// Wait for a place for an adapter at the engine of a report, in milliseconds.
-pub(super) fn place_ms(report: &LoaderReport) -> f64 {
-    f64::from((1 - report.room).max(0)) * PLACE_MS
+/// Wait for a slot for an adapter at the engine of a report, in milliseconds.
+pub(super) fn slot_wait_ms(report: &LoaderReport) -> f64 {
+    f64::from((1 - report.free_slots).max(0)) * SLOT_MS
 }
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -13,7 +13,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-const PLACES: u16 = 4;
+const SLOTS: u16 = 4;
 
 fn router(index: u16) -> SocketAddr {
     ([127, 0, 0, 1], 9_000 + index).into()
@@ -49,7 +49,7 @@
         boot: 1,
         sequence,
         incarnation: "e1".into(),
-        adapter_places: PLACES,
+        adapter_slots: SLOTS,
         memory_mb: 80_000.0,
         bases: vec![BaseOffer { base: BASE.into(), weights_mb: 70_000.0, adapter_mb: 60.0 }],
         load_requests,
@@ -234,12 +234,12 @@
     assert_eq!(verb, Some(OrderVerb::UnloadAdapter(adapter("c"))));
 }
 
-struct RoomCase {
+struct FreeSlotsCase {
     name: &'static str,
     held: &'static [(&'static str, u32)],
     load_requests: Vec<LoadRequest>,
     uses: Vec<AdapterUse>,
-    room: i32,
+    free_slots: i32,
 }
 
 /// All places of an engine are taken by adapters that calls use. A load there waits until runs end, while
@@ -249,48 +249,54 @@
     let full = &[("a", 1), ("b", 1), ("c", 1), ("d", 1)];
     let all_used = || ["a", "b", "c", "d"].map(|name| running(name, 1)).to_vec();
     let cases = [
-        RoomCase { name: "empty", held: &[], load_requests: vec![], uses: vec![], room: 4 },
-        RoomCase {
+        FreeSlotsCase {
+            name: "empty",
+            held: &[],
+            load_requests: vec![],
+            uses: vec![],
+            free_slots: 4,
+        },
+        FreeSlotsCase {
             name: "full, none in use",
             held: full,
             load_requests: vec![],
             uses: vec![],
-            room: 4,
+            free_slots: 4,
         },
-        RoomCase {
+        FreeSlotsCase {
             name: "full, two in use",
             held: full,
             load_requests: vec![],
             uses: vec![running("a", 1), running("b", 3)],
-            room: 2,
+            free_slots: 2,
         },
-        RoomCase {
+        FreeSlotsCase {
             name: "all in use",
             held: full,
             load_requests: vec![],
             uses: all_used(),
-            room: 0,
+            free_slots: 0,
         },
-        RoomCase {
+        FreeSlotsCase {
             name: "all in use, and two loads wait for a place",
             held: full,
             load_requests: vec![request("x", 1), request("y", 2)],
             uses: all_used(),
-            room: -2,
+            free_slots: -2,
         },
-        RoomCase {
+        FreeSlotsCase {
             name: "wishes ahead of calls take no place",
             held: full,
             load_requests: vec![request("x", 0)],
             uses: all_used(),
-            room: 0,
+            free_slots: 0,
         },
     ];
     for case in cases {
         let mut machine = machine(4, case.held);
         machine.take_notice(router(1), notice(1, case.load_requests, case.uses), ms(0));
         let report = machine.make_report(ms(500)).expect("a report");
-        assert_eq!(report.room, case.room, "{}", case.name);
+        assert_eq!(report.free_slots, case.free_slots, "{}", case.name);
     }
 }
 
@@ -350,7 +356,7 @@
             OrderVerb::LoadBase(_) => {}
             OrderVerb::LoadAdapter(id, version) => {
                 self.coming.push((id.clone(), *version));
-                self.overfilled |= self.occupied() > usize::from(PLACES);
+                self.overfilled |= self.occupied() > usize::from(SLOTS);
             }
             OrderVerb::UnloadAdapter(id) => {
                 self.held.remove(id);
--- a/crates/core/tests/core/direct/pressure.rs
+++ b/crates/core/tests/core/direct/pressure.rs
@@ -6,7 +6,7 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(150);
 const WORK_MS: f64 = 30.0;
-const PLACES: usize = 6;
+const SLOTS: usize = 6;
 const QUEUE: usize = 24;
 
 /// What became of the calls of some seconds.
@@ -21,7 +21,7 @@
 fn play(rate: f64, routers: usize, sheds: bool) -> LoadResult {
     let mut gauges = vec![LatencyGauge::default(); routers];
     let mut result = LoadResult::default();
-    let mut places = [0.0_f64; PLACES];
+    let mut slots = [0.0_f64; SLOTS];
     let mut ends: VecDeque<(f64, usize, f64)> = VecDeque::new();
     let mut draw = 0.37_f64;
     let mut next = || {
@@ -41,14 +41,14 @@
             result.refused += 1;
             continue;
         }
-        if ends.len() >= PLACES + QUEUE {
+        if ends.len() >= SLOTS + QUEUE {
             gauges[router].record(OBJECTIVE, ms(now as u64));
             result.refused += 1;
             continue;
         }
-        let place = places.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("places");
-        let end = place.max(now) + WORK_MS * (0.5 + next());
-        *place = end;
+        let slot = slots.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("places");
+        let end = slot.max(now) + WORK_MS * (0.5 + next());
+        *slot = end;
         let at = ends.partition_point(|(other, _, _)| *other <= end);
         ends.insert(at, (end, router, end - now));
         if end - now <= 150.0 { result.in_time += 1 } else { result.late += 1 }
@@ -107,16 +107,16 @@
 #[test]
 fn slow_targets_with_free_places_turn_nobody_away() {
     const ROUTERS: usize = 4;
-    let places = (PLACES * 4) as u32;
+    let slots = (SLOTS * 4) as u32;
     let mut gauge = ConcurrencyGauge::default();
     for _ in 0..100 {
         gauge.record(2);
     }
-    assert!(!gauge.shows_queue(ROUTERS, places), "8 of 24 places");
+    assert!(!gauge.shows_queue(ROUTERS, slots), "8 of 24 places");
     for _ in 0..100 {
         gauge.record(8);
     }
-    assert!(gauge.shows_queue(ROUTERS, places), "32 calls at 24 places");
+    assert!(gauge.shows_queue(ROUTERS, slots), "32 calls at 24 places");
 }
 
 /// One answer in a hundred takes five times as long. It alone turns nobody away.
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -108,10 +108,10 @@
         other => panic!("{other:?}"),
     };
     let first = loads_at(&pool);
-    let short = LoaderReport { room: 0, ..report(&first.id, 2, &[]) };
+    let short = LoaderReport { free_slots: 0, ..report(&first.id, 2, &[]) };
     take_report(&mut pool, short, ms(1));
     assert_eq!(loads_at(&pool), first, "a place comes free soon");
-    let crowded = LoaderReport { room: -3, ..report(&first.id, 3, &[]) };
+    let crowded = LoaderReport { free_slots: -3, ..report(&first.id, 3, &[]) };
     take_report(&mut pool, crowded, ms(2));
     assert_ne!(loads_at(&pool), first);
 }
@@ -155,7 +155,7 @@
     let choice = choose_target(&pool, &need, ms(20), || 0.5);
     assert_eq!(choice, TargetChoice::Load(first.clone(), adapter("h7"), 1));
     assert_ne!(choose(&pool, ENGINES, Some(&call), 20), choice, "a new call goes elsewhere");
-    let crowded = LoaderReport { room: -5, queue_ms: 900, ..report(&first.id, 2, &[]) };
+    let crowded = LoaderReport { free_slots: -5, queue_ms: 900, ..report(&first.id, 2, &[]) };
     take_report(&mut pool, crowded, ms(20));
     let choice = choose_target(&pool, &need, ms(20), || 0.5);
     assert_eq!(choice, TargetChoice::Load(first, adapter("h7"), 1), "it has its turn for a place");
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -65,7 +65,8 @@
     let call = model_call(Some("h7"));
     let first = loaded_at(&pool, &call);
     for sequence in 1..60 {
-        let busy = LoaderReport { room: -8, queue_ms: 400, ..report(&first.id, sequence, &[]) };
+        let busy =
+            LoaderReport { free_slots: -8, queue_ms: 400, ..report(&first.id, sequence, &[]) };
         take_report(&mut pool, busy, ms(0));
     }
     let choice = choose(&pool, ENGINES, Some(&call), 10);
--- a/crates/core/tests/core/direct/support.rs
+++ b/crates/core/tests/core/direct/support.rs
@@ -71,7 +71,7 @@
         batch: 8,
         kv_tokens: 100_000,
         memory_mb: 80_000.0,
-        adapter_places: 4,
+        adapter_slots: 4,
         bases: vec![BaseSpec { name: BASE.into(), weights_mb: 70_000.0, adapter_mb: 60.0 }],
     };
     let services = [
@@ -106,7 +106,7 @@
         is_draining: false,
         holdings: vec![holding(adapters)],
         rates: Vec::new(),
-        room: 4,
+        free_slots: 4,
         coming: Vec::new(),
         load_ms: 120,
         queue_ms: 0,
