--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -41,21 +41,21 @@
 
 /// Whether a call may go on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SpendVerdict {
+pub enum SpendDecision {
     /// It may, and is counted.
     Granted,
     /// The limit is used up.
     Refused {
-        /// When there will be room for it; `None` if it exceeds the limit by itself.
-        room_in: Option<Duration>,
+        /// When it may be granted; `None` if it exceeds the limit by itself.
+        retry_after: Option<Duration>,
     },
 }
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Spend {
+pub enum SpendResult {
     /// It is decided.
-    Decided(SpendVerdict),
+    Decided(SpendDecision),
     /// It waits for its limit's meter.
     Waiting(CallTicket),
 }
@@ -83,7 +83,7 @@
     fleet: FleetSize,
     meters: MeterRegister,
     accounts: HashMap<LimitTag, LimitAccount>,
-    decided: Vec<(CallTicket, SpendVerdict)>,
+    decided: Vec<(CallTicket, SpendDecision)>,
     /// Whether the meters are to be told at once which of them can be reached now, and of targets' limits.
     is_untold: bool,
 }
@@ -149,10 +149,10 @@
         rule: &LimitRule,
         cost: UsageCost,
         now: Timestamp,
-    ) -> Spend {
+    ) -> SpendResult {
         let shares = LimitShares::new(rule, self.fleet);
         if f64::from(cost) > shares.largest {
-            return Spend::Decided(SpendVerdict::Refused { room_in: None });
+            return SpendResult::Decided(SpendDecision::Refused { retry_after: None });
         }
         let ttl = report_ttl(self.fleet.known);
         let reachable = self.meters.reachable();
@@ -168,12 +168,12 @@
         account.refill_alone(&shares, ttl, now);
         if account.waiting.is_empty() && account.fits(cost, &shares) {
             account.spend(cost, now);
-            return Spend::Decided(SpendVerdict::Granted);
+            return SpendResult::Decided(SpendDecision::Granted);
         }
         if (account.meter.is_none() && !is_awaited) || account.is_short(now) {
-            return Spend::Decided(account.refusal(cost, &shares, now));
+            return SpendResult::Decided(account.refusal(cost, &shares, now));
         }
-        Spend::Waiting(account.waiting.push(tag, cost, now))
+        SpendResult::Waiting(account.waiting.push(tag, cost, now))
     }
 
     /// A call that was counted at `spent` was not run.
@@ -235,16 +235,16 @@
         account.wanted = known.max(granted.granted);
         let shares = account.shares(self.fleet);
         while let Some((ticket, cost, asked_in)) = account.waiting.first() {
-            let verdict = if account.fits(cost, &shares) {
+            let decision = if account.fits(cost, &shares) {
                 account.spend(cost, now);
-                SpendVerdict::Granted
+                SpendDecision::Granted
             } else if granted.is_settled && asked_in.is_some_and(|asked_in| asked_in <= sequence) {
                 account.refusal(cost, &shares, now)
             } else {
                 break;
             };
             account.waiting.pop();
-            self.decided.push((ticket, verdict));
+            self.decided.push((ticket, decision));
         }
     }
 
@@ -263,13 +263,13 @@
                     break;
                 }
                 account.waiting.pop();
-                let verdict = if account.fits(cost, &shares) {
+                let decision = if account.fits(cost, &shares) {
                     account.spend(cost, now);
-                    SpendVerdict::Granted
+                    SpendDecision::Granted
                 } else {
                     account.refusal(cost, &shares, now)
                 };
-                self.decided.push((ticket, verdict));
+                self.decided.push((ticket, decision));
             }
         }
         self.accounts.retain(|_, account| {
@@ -278,7 +278,7 @@
     }
 
     /// Calls that have been decided since this was last asked.
-    pub fn take_decided(&mut self) -> Vec<(CallTicket, SpendVerdict)> {
+    pub fn take_decided(&mut self) -> Vec<(CallTicket, SpendDecision)> {
         std::mem::take(&mut self.decided)
     }
 
@@ -373,18 +373,18 @@
         self.is_untold = true;
     }
 
-    /// Time for which a limit that has no room is best left alone, where there will be room after `room_in`.
+    /// Time for which a limit that is used up is best left alone, where units will be there after `retry_after`.
     ///
     /// With hundreds of routers the meter would otherwise be asked for each call that any of them would like to
     /// send. Without a meter, a turn may come at any time.
-    pub fn refusal_pause(&self, tag: LimitTag, room_in: Duration) -> Duration {
+    pub fn refusal_pause(&self, tag: LimitTag, retry_after: Duration) -> Duration {
         let account = self.accounts.get(&tag);
         let Some(account) = account.filter(|account| account.meter.is_some()) else {
             return TURN_LOOK;
         };
         let ask_rate = ASK_RATE.max(ASKS_PER_UNIT * account.rule.limit.rate);
         let fair = Duration::from_secs_f64(self.fleet.known as f64 / ask_rate);
-        fair.max(room_in / 2).clamp(TURN_LOOK, LONGEST_REST)
+        fair.max(retry_after / 2).clamp(TURN_LOOK, LONGEST_REST)
     }
 
     /// Whether a limit's meter is to be asked now.
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -1,6 +1,6 @@
 //! The account of one limit at one router: what it holds, what it has asked for, and who waits.
 
-use super::{SpendVerdict, waiting::WaitingCalls, window::UsageWindow};
+use super::{SpendDecision, waiting::WaitingCalls, window::UsageWindow};
 use crate::{
     direct::limits::{
         messages::MeterTag,
@@ -138,7 +138,7 @@
         cost: UsageCost,
         shares: &LimitShares,
         now: Timestamp,
-    ) -> SpendVerdict {
+    ) -> SpendDecision {
         let (left, rate) = match self.word {
             Some(word) => {
                 let passed = now.saturating_sub(word.at).as_secs_f64();
@@ -148,8 +148,8 @@
         };
         let missing = (f64::from(cost) - left).max(0.0);
         let seconds = missing / rate.max(f64::MIN_POSITIVE);
-        let room = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_PAUSE);
-        SpendVerdict::Refused { room_in: Some(room.clamp(LEAST_PAUSE, LONGEST_PAUSE)) }
+        let retry_after = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_PAUSE);
+        SpendDecision::Refused { retry_after: Some(retry_after.clamp(LEAST_PAUSE, LONGEST_PAUSE)) }
     }
 
     /// Units that the calls that wait need beyond what there is.
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -162,11 +162,13 @@
             && !target.has_ended()
             && !target.is_backing_off(now)
             && !target.health.is_backing_off(now)
-            && !target.is_dark(now)
+            && !target.is_unresponsive(now)
     });
     // A target that turns calls away is no place for copies, unless all others do so too.
     let mut weighted: Vec<(bool, u64, &TargetState)> = usable
-        .map(|target| (!target.is_crowded(now), weight(key, &target.entry.incarnation.id), target))
+        .map(|target| {
+            (!target.was_recently_saturated(now), weight(key, &target.entry.incarnation.id), target)
+        })
         .collect();
     weighted.sort_unstable_by_key(|(has_room, weight, _)| std::cmp::Reverse((*has_room, *weight)));
     weighted.truncate(copies + 1);
@@ -179,7 +181,7 @@
 
 fn is_usable(target: &TargetState, need: &CallNeed<'_>, now: Timestamp) -> bool {
     is_alive(target, need, now)
-        && !target.is_full(now)
+        && !target.is_saturated(now)
         && need.model.is_none_or(|call| target.holds_base(&call.need.base, now))
 }
 
@@ -187,7 +189,7 @@
     !target.is_draining()
         && !target.has_ended()
         && !target.is_backing_off(now)
-        && !target.is_dark(now)
+        && !target.is_unresponsive(now)
         && !need.excluded.contains(&target.entry.incarnation)
 }
 
@@ -197,7 +199,7 @@
 fn awaits_base(pool: &TargetPool, need: &CallNeed<'_>, now: Timestamp) -> bool {
     need.model.is_some()
         && pool.service_targets(need.service).any(|target| {
-            is_alive(target, need, now) && !target.is_silent(now) && !target.is_full(now)
+            is_alive(target, need, now) && !target.is_silent(now) && !target.is_saturated(now)
         })
 }
 
@@ -242,11 +244,11 @@
     let Some(spec) = pool.engine_of(target) else { return f64::from(active) * ACTIVE_MS };
     let used = report.map_or(0, |report| u64::from(report.kv_used));
     let wanted = u64::from(call.tokens_in + call.tokens_out);
-    let is_full = active >= spec.batch || used + wanted > spec.kv_tokens;
+    let is_saturated = active >= spec.batch || used + wanted > spec.kv_tokens;
     // Those in the queue have their turns first, each when a run ends.
-    let turns = queued + u32::from(is_full);
+    let turns = queued + u32::from(is_saturated);
     // A full engine puts calls back when its memory runs out, and reads their prompts anew.
-    let again = if is_full { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
+    let again = if is_saturated { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
     f64::from(active) * ACTIVE_MS
         + f64::from(turns) * pool.wait_estimates().batch_wait_ms(spec.batch)
         + again
@@ -273,7 +275,7 @@
     if target.is_silent(now) {
         return stray + NO_LOADER_MS;
     }
-    let stray = stray + if target.is_crowded(now) { CROWDED_LOAD_MS } else { 0.0 };
+    let stray = stray + if target.was_recently_saturated(now) { CROWDED_LOAD_MS } else { 0.0 };
     let Some(report) = target.fresh_report(now) else {
         return stray + pool.wait_estimates().load_ms() + pool.wait_estimates().queue_ms();
     };
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -25,8 +25,8 @@
 /// Time after which a silent loader is asked again.
 const SILENCE_TTL: Duration = Duration::from_secs(2);
 
-/// Time for which a limit that had no room keeps adapters away from its target.
-const CROWDED_TTL: Duration = Duration::from_secs(10);
+/// Time for which a limit that was used up keeps adapters away from its target.
+const SATURATION_TTL: Duration = Duration::from_secs(10);
 
 /// What a loader last reported of its engine.
 #[derive(Clone, Debug)]
@@ -85,8 +85,8 @@
     pub limit: KnownLimit,
     /// What it has advertised of itself.
     pub advertised: AdvertisedState,
-    /// Until when its limit is taken to have no room.
-    pub(super) full_until: Timestamp,
+    /// Until when its limit is taken to be used up.
+    pub(super) saturated_until: Timestamp,
     /// What its loader reported.
     pub loader: Option<LoaderView>,
     /// When its loader was first asked for the report that has not come yet.
@@ -112,7 +112,7 @@
             latency: LatencyGauge::default(),
             limit: KnownLimit::default(),
             advertised: AdvertisedState::default(),
-            full_until: Duration::ZERO,
+            saturated_until: Duration::ZERO,
             loader: None,
             question: None,
             noted_silence: None,
@@ -239,20 +239,20 @@
         self.limit.rate.is_some()
     }
 
-    /// Whether its limit had no room for a call lately, so that adapters had better be elsewhere.
-    pub fn is_crowded(&self, now: Timestamp) -> bool {
+    /// Whether its limit admitted no call lately, so that adapters had better be elsewhere.
+    pub fn was_recently_saturated(&self, now: Timestamp) -> bool {
         self.is_limited()
-            && !self.full_until.is_zero()
-            && now.saturating_sub(self.full_until) < CROWDED_TTL
+            && !self.saturated_until.is_zero()
+            && now.saturating_sub(self.saturated_until) < SATURATION_TTL
     }
 
-    /// Whether its limit was found to have no room.
-    pub fn is_full(&self, now: Timestamp) -> bool {
-        self.is_limited() && now < self.full_until
+    /// Whether its limit was found to be used up.
+    pub fn is_saturated(&self, now: Timestamp) -> bool {
+        self.is_limited() && now < self.saturated_until
     }
 
-    /// Whether its loader says that it does not answer.
-    pub fn is_dark(&self, now: Timestamp) -> bool {
+    /// Whether its loader reports that it does not answer.
+    pub fn is_unresponsive(&self, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| !report.is_answering)
     }
 
--- a/crates/core/src/direct/targets/advertised.rs
+++ b/crates/core/src/direct/targets/advertised.rs
@@ -26,9 +26,9 @@
 
     /// When a target of the service may take requests again, if all that are left have asked for none.
     pub fn backoff_left(&self, service: &str, now: Timestamp) -> Option<Duration> {
-        let alive = self
-            .service_targets(service)
-            .filter(|target| !target.is_draining() && !target.has_ended() && !target.is_dark(now));
+        let alive = self.service_targets(service).filter(|target| {
+            !target.is_draining() && !target.has_ended() && !target.is_unresponsive(now)
+        });
         let first = alive.map(|target| target.advertised.backoff_until).min()?;
         Some(first.saturating_sub(now)).filter(|left| !left.is_zero())
     }
--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -66,16 +66,16 @@
         self.targets.values().any(|target| target.limit.is_reported(now))
     }
 
-    /// A target's limit was found to have no room until then.
-    pub fn note_full(&mut self, incarnation: &TargetIncarnation, until: Timestamp) {
+    /// A target's limit was found to be used up until then.
+    pub fn record_saturation(&mut self, incarnation: &TargetIncarnation, until: Timestamp) {
         if let Some(target) = self.target_mut(incarnation) {
-            target.full_until = until;
+            target.saturated_until = until;
         }
     }
 
-    /// When a target of the service may have room again, if the limit of one has none now.
-    pub fn room_in(&self, service: &str, now: Timestamp) -> Option<Duration> {
-        let full = self.service_targets(service).filter(|target| target.is_full(now));
-        full.map(|target| target.full_until.saturating_sub(now)).min()
+    /// When a target of the service may take calls again, if one is saturated now.
+    pub fn limit_retry_after(&self, service: &str, now: Timestamp) -> Option<Duration> {
+        let full = self.service_targets(service).filter(|target| target.is_saturated(now));
+        full.map(|target| target.saturated_until.saturating_sub(now)).min()
     }
 }
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -7,7 +7,7 @@
         customers::CustomerRule,
         directory::RouterRegister,
         limits::{
-            account::{AccountBook, CallTicket, Spend, SpendVerdict},
+            account::{AccountBook, CallTicket, SpendDecision, SpendResult},
             messages::{UsageGrant, UsageReport},
             meter::UsageMeter,
             terms::{FleetSize, LimitRule, LimitTerms, UsageLimit, UsageUnit},
@@ -260,12 +260,12 @@
         let rule = self.limit_rule();
         let spend = self.routers[router].spend(self.rule.tag(), &rule, cost, now);
         match spend {
-            Spend::Decided(verdict) => self.record(verdict, cost, now),
-            Spend::Waiting(ticket) => {
+            SpendResult::Decided(decision) => self.record(decision, cost, now),
+            SpendResult::Waiting(ticket) => {
                 self.waiting.insert((router, ticket), (now, cost));
             }
         }
-        if spend == Spend::Decided(SpendVerdict::Granted)
+        if spend == SpendResult::Decided(SpendDecision::Granted)
             && !self.routers[router].is_low(self.rule.tag())
         {
             return;
@@ -273,8 +273,8 @@
         self.send_reports(router);
     }
 
-    fn record(&mut self, verdict: SpendVerdict, cost: u32, at: Timestamp) {
-        let is_run = verdict == SpendVerdict::Granted;
+    fn record(&mut self, decision: SpendDecision, cost: u32, at: Timestamp) {
+        let is_run = decision == SpendDecision::Granted;
         self.records.push(RunRecord { at, cost, is_run });
     }
 
@@ -341,9 +341,9 @@
     }
 
     fn settle(&mut self, router: usize) {
-        for (ticket, verdict) in self.routers[router].take_decided() {
+        for (ticket, decision) in self.routers[router].take_decided() {
             if let Some((_, cost)) = self.waiting.remove(&(router, ticket)) {
-                self.record(verdict, cost, self.now());
+                self.record(decision, cost, self.now());
             }
         }
     }
--- a/crates/core/tests/core/direct/selection/limits.rs
+++ b/crates/core/tests/core/direct/selection/limits.rs
@@ -19,7 +19,7 @@
 /// States a limit that has no room until `until`.
 fn fill(pool: &mut TargetPool, id: &str, until: u64) {
     state_limit(pool, id, 3.9);
-    pool.note_full(&id.into(), ms(until));
+    pool.record_saturation(&id.into(), ms(until));
 }
 
 fn engines_with(adapters: &[&str]) -> TargetPool {
@@ -40,8 +40,8 @@
     assert_eq!(sent_to(&choose(&pool, DESK, None, 600)), Some("d1"), "it has room again");
     fill(&mut pool, "d2", 700);
     assert_eq!(choose(&pool, DESK, None, 10), TargetChoice::Nowhere);
-    assert_eq!(pool.room_in(DESK, ms(10)), Some(ms(490)));
-    assert_eq!(pool.room_in(DESK, ms(800)), None);
+    assert_eq!(pool.limit_retry_after(DESK, ms(10)), Some(ms(490)));
+    assert_eq!(pool.limit_retry_after(DESK, ms(800)), None);
     // Engines that have their base model are not waited for.
     let call = model_call(Some("h7"));
     for id in ALL_ENGINES {
@@ -99,7 +99,7 @@
     let usual = homes(&pool, 10);
     state_limit(&mut pool, &usual[0].id, 500.0);
     assert_eq!(homes(&pool, 10), usual, "its limit has room");
-    pool.note_full(&usual[0], ms(100));
+    pool.record_saturation(&usual[0], ms(100));
     assert!(!homes(&pool, 200).contains(&usual[0]));
     let choice = choose(&pool, ENGINES, Some(&call), 200);
     assert!(
@@ -108,7 +108,7 @@
     );
     assert_eq!(homes(&pool, 60_000), usual, "no call was turned away for long");
     for id in ALL_ENGINES {
-        pool.note_full(&id.into(), ms(100));
+        pool.record_saturation(&id.into(), ms(100));
         pool.record_limit(&id.into(), AdvertisedLimit::Limited(3.9), ms(1), ms(3));
     }
     assert_eq!(homes(&pool, 200), usual, "there is no better place");
--- a/crates/daemon/src/loader.rs
+++ b/crates/daemon/src/loader.rs
@@ -71,7 +71,7 @@
     socket: UdpSocket,
     logger: Logger,
     dark_logged: Timestamp,
-    is_dark: bool,
+    is_unresponsive: bool,
 }
 
 /// What the engine answered to a step, if there was one to take.
@@ -94,7 +94,7 @@
             socket,
             logger,
             dark_logged: Duration::ZERO,
-            is_dark: false,
+            is_unresponsive: false,
         }
     }
 
@@ -231,7 +231,7 @@
     }
 
     fn note_answering(&mut self) {
-        if std::mem::take(&mut self.is_dark) {
+        if std::mem::take(&mut self.is_unresponsive) {
             info!(self.logger, "engine regained"; "step" => "engine");
         }
     }
@@ -239,12 +239,12 @@
     fn note_silence(&mut self, error: &eyre::Report) {
         let now = clock::now();
         self.machine.note_silence(now);
-        if !self.is_dark || now.saturating_sub(self.dark_logged) > DARK_LOG_PAUSE {
+        if !self.is_unresponsive || now.saturating_sub(self.dark_logged) > DARK_LOG_PAUSE {
             self.dark_logged = now;
             warn!(self.logger, "engine lost"; "step" => "engine",
                 "error" => %format!("{error:#}"));
         }
-        self.is_dark = true;
+        self.is_unresponsive = true;
     }
 
     /// Tells the routers that are due what is known of the engine.
--- a/crates/daemon/src/router/admission.rs
+++ b/crates/daemon/src/router/admission.rs
@@ -12,7 +12,7 @@
         call::CallHead,
         config::{RouteConfig, RouteRule},
         customers::{CallerIdentity, CustomerRule, keys::PresentedKey},
-        limits::account::SpendVerdict,
+        limits::account::SpendDecision,
     },
     ids::{CustomerName, ServiceName},
 };
@@ -65,7 +65,7 @@
     pub(super) fn pause(self) -> Option<Duration> {
         match self {
             Self::NoConfig | Self::MayBeNewKey => Some(constants::RETURN_PAUSE),
-            Self::OverLimit(room_in) => Some(spread(room_in)),
+            Self::OverLimit(retry_after) => Some(spread(retry_after)),
             _ => None,
         }
     }
@@ -120,14 +120,16 @@
     let Some(customer) = identity.customer() else { return Ok(None) };
     let Some(limit) = &customer.limit else { return Ok(None) };
     let cost = limit.cost(head.tokens);
-    let (mut verdict, mut charge) = context.limits.charge(customer, limit, cost).await;
-    if verdict != SpendVerdict::Granted && learns_first_meters(context).await {
-        (verdict, charge) = context.limits.charge(customer, limit, cost).await;
+    let (mut decision, mut charge) = context.limits.charge(customer, limit, cost).await;
+    if decision != SpendDecision::Granted && learns_first_meters(context).await {
+        (decision, charge) = context.limits.charge(customer, limit, cost).await;
     }
-    match verdict {
-        SpendVerdict::Granted => Ok(Some(charge)),
-        SpendVerdict::Refused { room_in: Some(room_in) } => Err(CallRejection::OverLimit(room_in)),
-        SpendVerdict::Refused { room_in: None } => Err(CallRejection::LargerThanLimit),
+    match decision {
+        SpendDecision::Granted => Ok(Some(charge)),
+        SpendDecision::Refused { retry_after: Some(retry_after) } => {
+            Err(CallRejection::OverLimit(retry_after))
+        }
+        SpendDecision::Refused { retry_after: None } => Err(CallRejection::LargerThanLimit),
     }
 }
 
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -74,7 +74,7 @@
             let phase = |incarnation: &TargetIncarnation| match pool.target(incarnation) {
                 None => IncarnationPhase::Ended,
                 Some(target) if target.is_draining() => IncarnationPhase::Draining,
-                Some(target) if target.has_ended() || target.is_dark(now) => {
+                Some(target) if target.has_ended() || target.is_unresponsive(now) => {
                     IncarnationPhase::Ended
                 }
                 Some(_) => IncarnationPhase::Alive,
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -378,9 +378,9 @@
                         ));
                         return Err(backoff + constants::REST_SPREAD.mul_f64(rand::random::<f64>()));
                     }
-                    if let Some(room_in) = self.context.room_in(&self.service) {
+                    if let Some(retry_after) = self.context.limit_retry_after(&self.service) {
                         self.note("no room within the limits of targets");
-                        return Err(spread(room_in.max(constants::BUSY_PAUSE)));
+                        return Err(spread(retry_after.max(constants::BUSY_PAUSE)));
                     }
                     let known = self.context.pool.borrow().service_targets(&self.service).count();
                     if known == 0 && self.context.is_starting() {
--- a/crates/daemon/src/router/limits.rs
+++ b/crates/daemon/src/router/limits.rs
@@ -8,7 +8,7 @@
         customers::CustomerRule,
         limits::{
             LimitTag,
-            account::{AccountBook, AccountView, CallTicket, Spend, SpendVerdict},
+            account::{AccountBook, AccountView, CallTicket, SpendDecision, SpendResult},
             messages::{UsageGrant, UsageReport},
             terms::{FleetSize, LimitRule, LimitTerms, UsageCost, UsageLimit},
         },
@@ -38,7 +38,7 @@
     book: RefCell<AccountBook>,
     /// What customers' limits are judged by.
     customer_terms: Cell<LimitTerms>,
-    waiting: RefCell<HashMap<CallTicket, oneshot::Sender<SpendVerdict>>>,
+    waiting: RefCell<HashMap<CallTicket, oneshot::Sender<SpendDecision>>>,
     /// Wakes the link to the meters.
     pub(crate) wake: Notify,
 }
@@ -83,15 +83,15 @@
         customer: &CustomerRule,
         limit: &UsageLimit,
         cost: UsageCost,
-    ) -> (SpendVerdict, UsageCharge) {
+    ) -> (SpendDecision, UsageCharge) {
         let terms = self.customer_terms.get();
         let rule = LimitRule { limit: *limit, terms, is_used_before: false };
-        let (verdict, charge) = self.spend(customer.tag(), &rule, cost).await;
-        let outcome = if verdict == SpendVerdict::Granted { "granted" } else { "refused" };
+        let (decision, charge) = self.spend(customer.tag(), &rule, cost).await;
+        let outcome = if decision == SpendDecision::Granted { "granted" } else { "refused" };
         counter!("plantain_customer_units_total", "customer" => customer.name.to_string(),
             "outcome" => outcome)
         .increment(u64::from(cost));
-        (verdict, charge)
+        (decision, charge)
     }
 
     /// Counts a request against the limit that its target states. Where the target's meter must be asked, it waits
@@ -100,7 +100,7 @@
         &self,
         target: LimitTag,
         rate: RequestRate,
-    ) -> (SpendVerdict, UsageCharge) {
+    ) -> (SpendDecision, UsageCharge) {
         self.spend(target, &target_rule(rate), 1).await
     }
 
@@ -109,21 +109,21 @@
         tag: LimitTag,
         rule: &LimitRule,
         cost: UsageCost,
-    ) -> (SpendVerdict, UsageCharge) {
+    ) -> (SpendDecision, UsageCharge) {
         let spend = self.book.borrow_mut().spend(tag, rule, cost, clock::now());
         if self.book.borrow().is_low(tag) {
             self.wake.notify_one();
         }
-        let verdict = match spend {
-            Spend::Decided(verdict) => verdict,
-            Spend::Waiting(ticket) => self.wait(ticket).await,
+        let decision = match spend {
+            SpendResult::Decided(decision) => decision,
+            SpendResult::Waiting(ticket) => self.wait(ticket).await,
         };
-        (verdict, UsageCharge { tag, cost, spent: clock::now() })
+        (decision, UsageCharge { tag, cost, spent: clock::now() })
     }
 
-    /// Pause after a refusal, where there will be room after `room_in`.
-    pub(crate) fn refusal_pause(&self, tag: LimitTag, room_in: Duration) -> Duration {
-        self.book.borrow().refusal_pause(tag, room_in)
+    /// Pause after a refusal, where there will be room after `retry_after`.
+    pub(crate) fn refusal_pause(&self, tag: LimitTag, retry_after: Duration) -> Duration {
+        self.book.borrow().refusal_pause(tag, retry_after)
     }
 
     /// Has the meters told at once what is known of targets' limits.
@@ -132,15 +132,15 @@
         self.wake.notify_one();
     }
 
-    async fn wait(&self, ticket: CallTicket) -> SpendVerdict {
+    async fn wait(&self, ticket: CallTicket) -> SpendDecision {
         let (sender, decided) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         self.wake.notify_one();
         let guard = WaitGuard { keeper: self, ticket, is_decided: Cell::new(false) };
-        let verdict = decided.await;
+        let decision = decided.await;
         guard.is_decided.set(true);
         // Each call that waits is decided after a while at the latest.
-        verdict.unwrap_or(SpendVerdict::Refused { room_in: None })
+        decision.unwrap_or(SpendDecision::Refused { retry_after: None })
     }
 
     /// A call that was counted was not run.
@@ -194,10 +194,10 @@
     fn settle(&self) {
         let decided = self.book.borrow_mut().take_decided();
         let mut waiting = self.waiting.borrow_mut();
-        for (ticket, verdict) in decided {
+        for (ticket, decision) in decided {
             if let Some(sender) = waiting.remove(&ticket) {
                 // A caller that has just gone does not hear it; its call is counted all the same.
-                let _ = sender.send(verdict);
+                let _ = sender.send(decision);
             }
         }
     }
--- a/crates/daemon/src/router/turns.rs
+++ b/crates/daemon/src/router/turns.rs
@@ -5,7 +5,7 @@
 use metrics::counter;
 use plantain_core::{
     direct::{
-        limits::account::SpendVerdict,
+        limits::account::SpendDecision,
         membership::TargetIncarnation,
         target_limit::{AdvertisedLimit, LimitUpdate, RequestRate},
     },
@@ -76,12 +76,12 @@
         let Some(rate) = self.limit_rate(incarnation) else { return TargetTurn::Granted(None) };
         let tag = incarnation.incarnation_hash();
         let turn = timeout(constants::TURN_WAIT, self.limits.take_turn(tag, rate)).await;
-        let room_in = match turn {
-            Ok((SpendVerdict::Granted, charge)) => {
+        let retry_after = match turn {
+            Ok((SpendDecision::Granted, charge)) => {
                 counter!("plantain_target_turns_total", "outcome" => "granted").increment(1);
                 return TargetTurn::Granted(Some(charge));
             }
-            Ok((SpendVerdict::Refused { room_in }, _)) => room_in,
+            Ok((SpendDecision::Refused { retry_after }, _)) => retry_after,
             Err(_) => None,
         };
         if self.limit_rate(incarnation).is_none() {
@@ -90,9 +90,9 @@
         }
         counter!("plantain_target_turns_total", "outcome" => "refused").increment(1);
         let now = clock::now();
-        let pause = self.limits.refusal_pause(tag, room_in.unwrap_or_default());
+        let pause = self.limits.refusal_pause(tag, retry_after.unwrap_or_default());
         let until = now + pause.mul_f64(0.5 + 0.5 * rand::random::<f64>());
-        self.pool.borrow_mut().note_full(incarnation, until);
+        self.pool.borrow_mut().record_saturation(incarnation, until);
         let mut grounds = format!("{incarnation} takes {rate} requests a second");
         match self.limits.view_tag(tag, now) {
             Some(view) if view.age.is_some() => {
@@ -105,7 +105,7 @@
     }
 
     /// Time until a limit that is used up may have room again, if a target of the service has one.
-    pub(crate) fn room_in(&self, service: &str) -> Option<Duration> {
-        self.pool.borrow().room_in(service, clock::now())
+    pub(crate) fn limit_retry_after(&self, service: &str) -> Option<Duration> {
+        self.pool.borrow().limit_retry_after(service, clock::now())
     }
 }
