--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -272,7 +272,7 @@
         }
         self.is_answering = true;
         self.polled = now;
-        let is_moving = !report.coming.is_empty() || report.is_busy;
+        let is_moving = !report.loading.is_empty() || report.is_busy;
         let pause = match (is_moving, now.saturating_sub(self.ordered) < FAST_SPAN) {
             (false, _) => IDLE_POLL,
             (true, true) => FAST_POLL,
@@ -299,7 +299,7 @@
     /// Learns from loads that have ended.
     fn note_loaded(&mut self, report: &EngineReport, now: Timestamp) {
         let ended: Vec<AdapterId> =
-            self.loading.keys().filter(|id| !report.is_coming(id)).cloned().collect();
+            self.loading.keys().filter(|id| !report.is_loading(id)).cloned().collect();
         for id in ended {
             let Some(start) = self.loading.remove(&id) else { continue };
             if report.held(&id).is_none() {
@@ -427,7 +427,7 @@
                         let is_near = self.memory.holds(adapter);
                         self.loading.insert(adapter.clone(), LoadStart { at: now, is_near });
                     }
-                    report.coming.push((adapter.clone(), *version));
+                    report.loading.push((adapter.clone(), *version));
                 } else if let Some(holding) = report.holding_mut(&adapter.base) {
                     holding.adapters.insert(Arc::clone(&adapter.name), *version);
                 }
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -32,7 +32,7 @@
         }
         let newest = self.notices.values().max_by_key(|state| state.received)?;
         let slots = usize::from(newest.notice.adapter_slots);
-        if report.coming.len() >= TRANSIT_LIMIT {
+        if report.loading.len() >= TRANSIT_LIMIT {
             return None;
         }
         let load_requests = self.requests_in_order(report, now);
@@ -108,9 +108,9 @@
                 let adapter = requested_adapter(request);
                 let is_met =
                     report.held(&adapter).is_some_and(|version| version >= request.version);
-                let is_coming = report.is_coming(&adapter);
+                let is_loading = report.is_loading(&adapter);
                 let has_base = report.holdings.iter().any(|holding| holding.base == request.base);
-                if !is_met && !state.met.contains(&adapter) && !is_coming && has_base {
+                if !is_met && !state.met.contains(&adapter) && !is_loading && has_base {
                     let since = state.requested.get(&adapter).copied().unwrap_or(state.received);
                     load_requests.push((request, since));
                 }
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -25,8 +25,8 @@
             .map(|(request, _)| request)
             .filter(|request| request.waiting > 0);
         let awaited: Vec<&LoadRequest> = awaited.collect();
-        let coming = report.coming.iter();
-        let coming = coming.map(|(id, _)| (Arc::clone(&id.base), Arc::clone(&id.name)));
+        let loading = report.loading.iter();
+        let loading = loading.map(|(id, _)| (Arc::clone(&id.base), Arc::clone(&id.name)));
         Some(LoaderReport {
             boot: self.boot,
             sequence: self.sequence,
@@ -36,7 +36,7 @@
             rates: self.rates(&report.holdings, now),
             free_slots: self.free_slots(report, &awaited, now),
             holdings: report.holdings.clone(),
-            coming: coming.collect(),
+            loading: loading.collect(),
             load_ms: as_millis(self.transit.expected()),
             queue_ms: as_millis(self.load_queue(&awaited, now)),
             active: report.active,
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -129,8 +129,9 @@
     /// slots already.
     #[serde(rename = "room")]
     pub free_slots: i32,
-    /// Adapters on their way, or being replaced.
-    pub coming: Vec<(BaseName, AdapterName)>,
+    /// Adapters being loaded or replaced.
+    #[serde(rename = "coming")]
+    pub loading: Vec<(BaseName, AdapterName)>,
     /// Expected time in ms of a load from the weight store.
     pub load_ms: u16,
     /// Wait in ms before one could begin.
--- a/crates/core/src/direct/orders.rs
+++ b/crates/core/src/direct/orders.rs
@@ -11,8 +11,8 @@
 pub struct EngineReport {
     /// Base models and adapters held.
     pub holdings: Vec<BaseHolding>,
-    /// Adapters on their way.
-    pub coming: Vec<(AdapterId, AdapterVersion)>,
+    /// Adapters being loaded.
+    pub loading: Vec<(AdapterId, AdapterVersion)>,
     /// Whether a load or unload of a base model is under way.
     pub is_busy: bool,
     /// Orders accepted since the engine's start.
@@ -37,21 +37,21 @@
         holding.adapters.get(&adapter.name).copied()
     }
 
-    /// Whether an adapter is on its way, or being replaced.
-    pub fn is_coming(&self, adapter: &AdapterId) -> bool {
-        self.coming.iter().any(|(coming, _)| coming == adapter)
+    /// Whether an adapter is being loaded or replaced.
+    pub fn is_loading(&self, adapter: &AdapterId) -> bool {
+        self.loading.iter().any(|(loading, _)| loading == adapter)
     }
 
     /// Adapters held that are not being replaced.
     pub fn settled_adapters(&self) -> impl Iterator<Item = AdapterId> {
         let all = self.holdings.iter().flat_map(BaseHolding::adapter_ids);
-        all.filter(|id| !self.is_coming(id))
+        all.filter(|id| !self.is_loading(id))
     }
 
     /// Slots taken by adapters held and by those on their way.
     pub fn occupied(&self) -> usize {
         let held: usize = self.holdings.iter().map(|holding| holding.adapters.len()).sum();
-        held + self.coming.iter().filter(|(id, _)| self.held(id).is_none()).count()
+        held + self.loading.iter().filter(|(id, _)| self.held(id).is_none()).count()
     }
 
     /// The base model of that name, to change what is held of it.
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -280,7 +280,7 @@
         return stray + pool.wait_estimates().load_ms() + pool.wait_estimates().queue_ms();
     };
     let load = f64::from(report.load_ms);
-    if target.is_coming(adapter, now) {
+    if target.is_loading(adapter, now) {
         return stray + load * COMING_SHARE;
     }
     // The queue in which the call has its turn already holds itself.
@@ -297,7 +297,7 @@
     now: Timestamp,
 ) -> f64 {
     let is_needed = adapter.is_some_and(|adapter| {
-        target.held_version(adapter, now).is_none() && !target.is_coming(adapter, now)
+        target.held_version(adapter, now).is_none() && !target.is_loading(adapter, now)
     });
     if is_needed {
         target.fresh_report(now).map_or(pool.wait_estimates().slot_wait_ms(), slot_wait_ms)
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -210,11 +210,11 @@
         holding.adapters.get(&adapter.name).copied()
     }
 
-    /// Whether an adapter is on its way to the target, or being replaced there.
-    pub fn is_coming(&self, adapter: &AdapterId, now: Timestamp) -> bool {
+    /// Whether an adapter is being loaded at the target, or replaced there.
+    pub fn is_loading(&self, adapter: &AdapterId, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| {
-            let mut coming = report.coming.iter();
-            coming.any(|(base, name)| *base == adapter.base && *name == adapter.name)
+            let mut loading = report.loading.iter();
+            loading.any(|(base, name)| *base == adapter.base && *name == adapter.name)
         })
     }
 
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -315,7 +315,7 @@
 struct FakeEngine {
     order_count: u64,
     held: BTreeMap<AdapterId, u32>,
-    coming: Vec<(AdapterId, u32)>,
+    loading: Vec<(AdapterId, u32)>,
     late: Vec<EngineOrder>,
     overfilled: bool,
     /// When its life began, if it tells.
@@ -327,7 +327,7 @@
         Self {
             order_count: 0,
             held: BTreeMap::new(),
-            coming: Vec::new(),
+            loading: Vec::new(),
             late: Vec::new(),
             overfilled: false,
             started,
@@ -338,12 +338,12 @@
     fn restart(&mut self) {
         self.order_count = 0;
         self.held.clear();
-        self.coming.clear();
+        self.loading.clear();
         self.started = self.started.map(|started| started + 1);
     }
 
     fn occupied(&self) -> usize {
-        let new = self.coming.iter().filter(|(id, _)| !self.held.contains_key(id)).count();
+        let new = self.loading.iter().filter(|(id, _)| !self.held.contains_key(id)).count();
         self.held.len() + new
     }
 
@@ -355,7 +355,7 @@
         match &order.verb {
             OrderVerb::LoadBase(_) => {}
             OrderVerb::LoadAdapter(id, version) => {
-                self.coming.push((id.clone(), *version));
+                self.loading.push((id.clone(), *version));
                 self.overfilled |= self.occupied() > usize::from(SLOTS);
             }
             OrderVerb::UnloadAdapter(id) => {
@@ -372,7 +372,7 @@
         holding.adapters = adapters.collect();
         EngineReport {
             holdings: vec![holding],
-            coming: self.coming.clone(),
+            loading: self.loading.clone(),
             order_count: self.order_count,
             started: self.started,
             ..EngineReport::default()
@@ -407,8 +407,8 @@
             if kind % 32 == 11 {
                 engine.restart();
             }
-            if kind % 3 == 0 && !engine.coming.is_empty() {
-                let (id, version) = engine.coming.remove(0);
+            if kind % 3 == 0 && !engine.loading.is_empty() {
+                let (id, version) = engine.loading.remove(0);
                 engine.held.insert(id, version);
             }
             match machine.next_step(now) {
--- a/crates/core/tests/core/direct/loader/turns.rs
+++ b/crates/core/tests/core/direct/loader/turns.rs
@@ -48,9 +48,9 @@
     }
 }
 
-fn coming(order_count: u64, held: &[(&str, u32)], names: &[&str]) -> EngineReport {
-    let coming = names.iter().map(|name| (adapter(name), 1)).collect();
-    EngineReport { coming, ..report(order_count, held) }
+fn loading(order_count: u64, held: &[(&str, u32)], names: &[&str]) -> EngineReport {
+    let loading = names.iter().map(|name| (adapter(name), 1)).collect();
+    EngineReport { loading, ..report(order_count, held) }
 }
 
 /// Each loader that keeps as many loads on their way as its engine takes slows down those of all others.
@@ -65,7 +65,7 @@
     );
     let step = machine.next_step(ms(1));
     machine.take_answer(order_of(&step).expect("a load"), OrderAnswer::Accepted, ms(2));
-    machine.take_report(coming(8, &[("a", 1)], &["x"]), ms(20));
+    machine.take_report(loading(8, &[("a", 1)], &["x"]), ms(20));
     assert!(order_of(&machine.next_step(ms(21))).is_none(), "one is on its way");
     let waits = machine.make_report(ms(21)).expect("a report");
     assert!(waits.queue_ms >= waits.load_ms, "the next one waits for it");
@@ -84,7 +84,7 @@
     machine.take_notice(router(1), notice(1, vec![newer], vec![running("a", 3)]), ms(0));
     let step = machine.next_step(ms(1));
     machine.take_answer(order_of(&step).expect("a replacement"), OrderAnswer::Accepted, ms(2));
-    machine.take_report(coming(8, &[("a", 1)], &["a"]), ms(20));
+    machine.take_report(loading(8, &[("a", 1)], &["a"]), ms(20));
     machine.take_notice(router(1), notice(2, vec![request("y", 1)], vec![running("a", 3)]), ms(21));
     let step = machine.next_step(ms(22));
     let verb = order_of(&step).map(|order| order.verb.clone());
@@ -109,7 +109,7 @@
         let answer = if is_load { OrderAnswer::Accepted } else { OrderAnswer::Done };
         machine.take_answer(&order, answer, ms(202));
     }
-    machine.take_report(coming(9, held, &["y"]), ms(210));
+    machine.take_report(loading(9, held, &["y"]), ms(210));
     machine.take_notice(router(1), notice(2, vec![request("z", 1)], vec![]), ms(211));
     assert!(order_of(&machine.next_step(ms(212))).is_none(), "never held: it waits");
     machine.take_notice(router(1), notice(3, vec![request("a", 1)], vec![]), ms(213));
--- a/crates/core/tests/core/direct/support.rs
+++ b/crates/core/tests/core/direct/support.rs
@@ -107,7 +107,7 @@
         holdings: vec![holding(adapters)],
         rates: Vec::new(),
         free_slots: 4,
-        coming: Vec::new(),
+        loading: Vec::new(),
         load_ms: 120,
         queue_ms: 0,
         active: 0,
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -308,7 +308,7 @@
 ) -> bool {
     pool.target(incarnation).is_some_and(|target| {
         target.holds_base(&adapter.base, now)
-            && !target.is_coming(adapter, now)
+            && !target.is_loading(adapter, now)
             && target.held_version(adapter, now).is_none_or(|held| held < newest)
     })
 }
