--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -2,10 +2,10 @@
 //!
 //! Pattern: routers of an availability zone share one watch of the platform's store, and all routers of the
 //! fleet share one budget of repeats, so each must know the others of its zone and the number of all. While
-//! every loader told every router, that traffic grew with routers times loaders. Instead the routers of a
-//! zone meet at two loaders, which all of them choose alike without a message and come by at in turn; while no
-//! loader is known, as after a start of everything, they meet at the routers that their settings name. Of
-//! each other zone a router only learns the number, which it asks where that zone's routers meet.
+//! every loader told every router, that traffic grew with routers times loaders. Instead the routers of a zone
+//! register at two loaders, which all of them choose alike without a message and come by at in turn; while no
+//! loader is known, as after a start of everything, they register at the routers that their settings name. Of
+//! each other zone a router only learns the number, which it asks where that zone's routers register.
 
 use super::{
     membership::InstanceId,
@@ -27,9 +27,9 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Loaders at which the routers of a zone meet. One may be gone or cut off without anybody losing sight
+/// Loaders at which the routers of a zone register. One may be gone or cut off without anybody losing sight
 /// of the others.
-const MEETING_LOADERS: usize = 2;
+const REGISTRY_LOADERS: usize = 2;
 /// Time for which a loader counts a router as alive. A router comes by each second, at the loaders of its
 /// zone in turn, so that one of its datagrams may be lost.
 const PRESENCE_TTL: Duration = Duration::from_secs(5);
@@ -46,9 +46,9 @@
 const EARLY_TURNS: usize = 8;
 /// Routers of its own zone that a router is told at least, if there are so many: those first in line to pass
 /// on what the store tells.
-const NEAR_FLOOR: usize = 8;
+const SAME_ZONE_FLOOR: usize = 8;
 /// Routers of other zones that a router is told, to be asked while its own zone cannot reach the store.
-const FAR_LIMIT: usize = 4;
+const OTHER_ZONES_LIMIT: usize = 4;
 /// Routers that a loader remembers; bounds its memory at about 100 kB.
 const MEMBER_LIMIT: usize = 2_048;
 
@@ -62,15 +62,16 @@
 /// Time from a router's start to its having the names of those that started with it.
 const NAMING_TIME: Duration = Duration::from_secs(3);
 
-/// What a router tells a loader at which routers meet, to be told of the others.
+/// What a router sends a loader at which routers register, to learn of the others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterPresence {
     /// Its availability zone.
     pub zone: ZoneName,
     /// Where other routers can ask it for the configuration and the list.
     pub address: SocketAddr,
-    /// Whether it is here that the routers of its zone meet.
-    pub meets_here: bool,
+    /// Whether it is here that the routers of its zone register.
+    #[serde(rename = "meets_here")]
+    pub registers_here: bool,
     /// What it knows of targets' limits.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
@@ -80,33 +81,35 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RouterDirectory {
     /// Routers of the asker's zone, those first that are first in line to follow the store.
-    pub near: Vec<SocketAddr>,
+    #[serde(rename = "near")]
+    pub same_zone: Vec<SocketAddr>,
     /// Some routers of other zones.
-    pub far: Vec<SocketAddr>,
-    /// Number of routers of the zones whose routers meet at this loader.
+    #[serde(rename = "far")]
+    pub other_zones: Vec<SocketAddr>,
+    /// Number of routers of the zones whose routers register at this loader.
     pub counts: Vec<(ZoneName, u16)>,
     /// Limits of targets that the router knows otherwise.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
 }
 
-/// The loaders at which the routers of a zone meet, chosen alike by all routers: loaders of the zone itself
-/// if there are any.
-pub fn meeting_targets<'a>(
+/// The loaders at which the routers of a zone register, chosen alike by all routers: loaders of the zone
+/// itself if there are any.
+pub fn registry_targets<'a>(
     zone: &str,
     engines: impl Iterator<Item = (&'a InstanceId, &'a ZoneName)>,
 ) -> Vec<InstanceId> {
     let key = xxh3_64(zone.as_bytes());
     let mut ranked: Vec<(bool, u64, &InstanceId)> =
         engines.map(|(id, at)| (**at == *zone, weight(key, id), id)).collect();
-    ranked.sort_unstable_by_key(|(is_near, weight, _)| Reverse((*is_near, *weight)));
-    ranked.into_iter().take(MEETING_LOADERS).map(|(_, _, id)| id.clone()).collect()
+    ranked.sort_unstable_by_key(|(is_same_zone, weight, _)| Reverse((*is_same_zone, *weight)));
+    ranked.into_iter().take(REGISTRY_LOADERS).map(|(_, _, id)| id.clone()).collect()
 }
 
 /// Routers of a zone of `routers` that pass on what the store tells. With as many relays as each has
 /// routers behind it, the busiest answers the fewest.
-fn near_limit(routers: usize) -> usize {
-    NEAR_FLOOR.max(routers.isqrt() + 1)
+fn same_zone_limit(routers: usize) -> usize {
+    SAME_ZONE_FLOOR.max(routers.isqrt() + 1)
 }
 
 /// A router that came by.
@@ -116,17 +119,17 @@
     /// Its [`relay_rank`].
     rank: u64,
     seen: Timestamp,
-    /// When it last came by as one whose zone's routers meet here.
+    /// When it last came by as one whose zone's routers register here.
     met: Option<Timestamp>,
 }
 
 /// The routers that come by at one loader.
 #[derive(Debug, Default)]
-pub struct MeetingPoint {
+pub struct PresenceRegistry {
     members: HashMap<SocketAddr, Member>,
 }
 
-impl MeetingPoint {
+impl PresenceRegistry {
     /// A router came by; what it is told in answer.
     pub fn take(&mut self, presence: &RouterPresence, now: Timestamp) -> RouterDirectory {
         self.members.retain(|_, member| now.saturating_sub(member.seen) < PRESENCE_TTL);
@@ -139,7 +142,7 @@
             });
             member.zone.clone_from(&presence.zone);
             member.seen = now;
-            if presence.meets_here {
+            if presence.registers_here {
                 member.met = Some(now);
             }
         }
@@ -147,17 +150,17 @@
     }
 
     fn directory(&self, zone: &ZoneName, now: Timestamp) -> RouterDirectory {
-        let (mut near, mut far): (Vec<_>, Vec<_>) =
+        let (mut same_zone, mut other_zones): (Vec<_>, Vec<_>) =
             self.members.iter().partition(|(_, member)| member.zone == *zone);
-        near.sort_unstable_by_key(|(_, member)| Reverse(member.rank));
-        far.sort_unstable_by_key(|(_, member)| Reverse(member.seen));
+        same_zone.sort_unstable_by_key(|(_, member)| Reverse(member.rank));
+        other_zones.sort_unstable_by_key(|(_, member)| Reverse(member.seen));
         let first = |members: Vec<(&SocketAddr, &Member)>, limit: usize| {
             members.into_iter().take(limit).map(|(address, _)| *address).collect()
         };
-        let relays = near_limit(near.len());
+        let relays = same_zone_limit(same_zone.len());
         RouterDirectory {
-            near: first(near, relays),
-            far: first(far, FAR_LIMIT),
+            same_zone: first(same_zone, relays),
+            other_zones: first(other_zones, OTHER_ZONES_LIMIT),
             counts: self.counts(now).into_iter().collect(),
             limit_updates: Vec::new(),
         }
@@ -181,16 +184,16 @@
     /// Where it answers other routers.
     pub address: SocketAddr,
     /// Whether it stands in this router's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
 }
 
 /// The routers that one may ask for what the store tells.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PeerView {
     /// The first routers of its availability zone, itself counted.
-    pub near: RelayOrder,
+    pub same_zone: RelayOrder,
     /// Some routers of other zones.
-    pub far: Vec<SocketAddr>,
+    pub other_zones: Vec<SocketAddr>,
     /// Number of routers of its zone.
     pub zone_routers: usize,
 }
@@ -200,17 +203,17 @@
     /// goes on asking only in case that the store serves it and not them, and does so the more rarely, the more
     /// ask before it: the calls of a zone in an outage do not grow with its routers.
     pub fn probe_pause(&self, own: SocketAddr) -> Duration {
-        if self.near.upstream(own, |_| true).is_none() {
+        if self.same_zone.upstream(own, |_| true).is_none() {
             return Duration::ZERO;
         }
-        let position = self.near.position(own).unwrap_or(self.zone_routers);
+        let position = self.same_zone.position(own).unwrap_or(self.zone_routers);
         PROBE_PAUSE.max(POSITION_PAUSE.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX)))
     }
 }
 
 /// What one router knows of the others.
 #[derive(Debug, Default)]
-pub struct RouterRegister {
+pub struct RouterTable {
     seen: BTreeMap<PeerRouter, Timestamp>,
     counts: HashMap<ZoneName, (usize, Timestamp)>,
     /// Routers whose reports are in the store, and when each was last read.
@@ -221,12 +224,14 @@
     is_lost: bool,
 }
 
-impl RouterRegister {
+impl RouterTable {
     /// Takes what a loader tells.
     pub fn note(&mut self, directory: &RouterDirectory, now: Timestamp) {
-        let near = directory.near.iter().map(|address| (*address, true));
-        let far = directory.far.iter().map(|address| (*address, false));
-        let named = near.chain(far).map(|(address, is_near)| PeerRouter { address, is_near });
+        let same_zone = directory.same_zone.iter().map(|address| (*address, true));
+        let other_zones = directory.other_zones.iter().map(|address| (*address, false));
+        let named = same_zone
+            .chain(other_zones)
+            .map(|(address, is_same_zone)| PeerRouter { address, is_same_zone });
         self.seen.extend(named.map(|peer| (peer, now)));
         self.seen.retain(|_, seen| now.saturating_sub(*seen) < PEER_TTL);
         for (zone, count) in &directory.counts {
@@ -297,13 +302,13 @@
     /// The other routers as the control thread sees them, for the router at `own` in `zone`.
     pub fn view(&self, zone: &ZoneName, own: SocketAddr, now: Timestamp) -> PeerView {
         let alive = self.seen.iter().filter(|(_, seen)| now.saturating_sub(**seen) < PEER_TTL);
-        let (near, far): (Vec<_>, Vec<_>) =
-            alive.map(|(peer, _)| *peer).partition(|peer| peer.is_near);
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) =
+            alive.map(|(peer, _)| *peer).partition(|peer| peer.is_same_zone);
         let addresses = |peers: Vec<PeerRouter>| peers.into_iter().map(|peer| peer.address);
-        let zone_routers = self.counted(zone, now).max(self.near_count(own, now));
+        let zone_routers = self.counted(zone, now).max(self.same_zone_count(own, now));
         PeerView {
-            near: RelayOrder::new(addresses(near)),
-            far: addresses(far).collect(),
+            same_zone: RelayOrder::new(addresses(same_zone)),
+            other_zones: addresses(other_zones).collect(),
             zone_routers,
         }
     }
@@ -321,11 +326,11 @@
     pub fn count(&self, zone: &ZoneName, own: SocketAddr, now: Timestamp) -> usize {
         let others = self.counts.keys().filter(|other| *other != zone);
         let elsewhere: usize = others.map(|other| self.counted(other, now)).sum();
-        elsewhere + self.counted(zone, now).max(self.near_count(own, now))
+        elsewhere + self.counted(zone, now).max(self.same_zone_count(own, now))
     }
 
-    fn near_count(&self, own: SocketAddr, now: Timestamp) -> usize {
-        self.peers(own, now).iter().filter(|peer| peer.is_near).count() + 1
+    fn same_zone_count(&self, own: SocketAddr, now: Timestamp) -> usize {
+        self.peers(own, now).iter().filter(|peer| peer.is_same_zone).count() + 1
     }
 
     fn counted(&self, zone: &ZoneName, now: Timestamp) -> usize {
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -11,7 +11,7 @@
 use super::{
     LimitTag,
     messages::{LimitGrant, MeterTag, UsageGrant, UsageReport, UsageRequest},
-    meters::{MeterRegister, first_meter, report_pause, report_ttl},
+    meters::{MeterTable, first_meter, report_pause, report_ttl},
     terms::{FleetSize, LimitRule, LimitShares, RETURN_LIMIT, UsageCost, UsageLimit},
 };
 use crate::{
@@ -81,7 +81,7 @@
     sequence: u32,
     config: ConfigNumber,
     fleet: FleetSize,
-    meters: MeterRegister,
+    meters: MeterTable,
     accounts: HashMap<LimitTag, LimitAccount>,
     decided: Vec<(CallTicket, SpendDecision)>,
     /// Whether the meters are to be told at once which of them can be reached now, and of targets' limits.
@@ -97,7 +97,7 @@
             sequence: 0,
             config: 0,
             fleet: FleetSize::new(1, 1),
-            meters: MeterRegister::default(),
+            meters: MeterTable::default(),
             accounts: HashMap::new(),
             decided: Vec::new(),
             is_untold: false,
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -104,14 +104,14 @@
 
 /// The meters of the fleet as one router sees them.
 #[derive(Debug, Default)]
-pub struct MeterRegister {
+pub struct MeterTable {
     links: Vec<MeterLink>,
     reachable: Vec<MeterTag>,
     /// When meters became known where there was none.
     known_since: Option<Timestamp>,
 }
 
-impl MeterRegister {
+impl MeterTable {
     /// Takes the targets beside which meters stand.
     pub fn set_targets(&mut self, targets: Vec<InstanceId>, now: Timestamp) {
         self.known_since = if targets.is_empty() { None } else { self.known_since.or(Some(now)) };
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -5,7 +5,7 @@
 use plantain_core::{
     direct::{
         customers::CustomerRule,
-        directory::RouterRegister,
+        directory::RouterTable,
         limits::{
             account::{AccountBook, CallTicket, SpendDecision, SpendResult},
             messages::{UsageGrant, UsageReport},
@@ -187,12 +187,12 @@
         if !self.are_strangers {
             return FleetSize::new(all, all);
         }
-        let mut register = RouterRegister::default();
-        register.note_listed();
+        let mut router_table = RouterTable::default();
+        router_table.note_listed();
         for other in (0..all).filter(|other| *other != router) {
-            register.note_name(&format!("r{other}").into(), self.now());
+            router_table.note_name(&format!("r{other}").into(), self.now());
         }
-        FleetSize::new(1, register.presumed(1, self.started[router], self.now()))
+        FleetSize::new(1, router_table.presumed(1, self.started[router], self.now()))
     }
 
     fn limit_rule(&self) -> LimitRule {
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -3,7 +3,7 @@
 use super::support::ms;
 use plantain_core::{
     direct::{
-        directory::{MeetingPoint, RouterPresence, RouterRegister, meeting_targets},
+        directory::{PresenceRegistry, RouterPresence, RouterTable, registry_targets},
         membership::InstanceId,
         sharing::order::RelayOrder,
     },
@@ -15,11 +15,11 @@
     ([10, 0, (index >> 8) as u8, index as u8], 9_000).into()
 }
 
-fn presence(zone: &str, index: u16, meets_here: bool) -> RouterPresence {
+fn presence(zone: &str, index: u16, registers_here: bool) -> RouterPresence {
     RouterPresence {
         zone: zone.into(),
         address: router(index),
-        meets_here,
+        registers_here,
         limit_updates: Vec::new(),
     }
 }
@@ -58,9 +58,9 @@
     for case in cases {
         let engines: Vec<(InstanceId, ZoneName)> =
             case.engines.iter().map(|(id, zone)| ((*id).into(), (*zone).into())).collect();
-        let chosen = meeting_targets(case.zone, engines.iter().map(|(id, zone)| (id, zone)));
+        let chosen = registry_targets(case.zone, engines.iter().map(|(id, zone)| (id, zone)));
         let backwards = engines.iter().rev().map(|(id, zone)| (id, zone));
-        assert_eq!(chosen, meeting_targets(case.zone, backwards), "{}: any order", case.name);
+        assert_eq!(chosen, registry_targets(case.zone, backwards), "{}: any order", case.name);
         let zone_of = |id: &InstanceId| {
             let found = engines.iter().find(|(own, _)| own == id);
             found.map(|(_, zone)| zone.to_string())
@@ -75,9 +75,10 @@
 #[test]
 fn few_routers_of_a_zone_read_the_store_at_a_start() {
     for routers in [6, 60, 200, 400] {
-        let mut meeting = MeetingPoint::default();
+        let mut registry = PresenceRegistry::default();
         let reads = |index: &u16| {
-            let named = meeting.take(&presence("a", *index, true), ms(u64::from(*index))).near;
+            let named =
+                registry.take(&presence("a", *index, true), ms(u64::from(*index))).same_zone;
             RelayOrder::new(named).bootstrap_upstream(router(*index)).is_none()
         };
         let readers = (0..routers).filter(reads).count() as u32;
@@ -90,36 +91,36 @@
 /// store for the zone, and count all.
 #[test]
 fn many_routers_of_a_zone_agree_on_their_watcher_and_number() {
-    let mut meeting = MeetingPoint::default();
+    let mut registry = PresenceRegistry::default();
     let zone: ZoneName = "a".into();
     for index in 0..60 {
-        meeting.take(&presence("a", index, true), ms(u64::from(index)));
+        registry.take(&presence("a", index, true), ms(u64::from(index)));
     }
     let expected = RelayOrder::new((0..60).map(router)).routers().next().expect("a router");
     for index in 0..60 {
-        let mut register = RouterRegister::default();
-        register.note(&meeting.take(&presence("a", index, true), ms(100)), ms(100));
+        let mut router_table = RouterTable::default();
+        router_table.note(&registry.take(&presence("a", index, true), ms(100)), ms(100));
         let own = router(index);
-        let order = register.view(&zone, own, ms(100)).near;
+        let order = router_table.view(&zone, own, ms(100)).same_zone;
         assert_eq!(order.routers().next(), Some(expected), "router {index}");
         assert_eq!(order.upstream(own, |_| true).is_none(), own == expected, "router {index}");
-        assert_eq!(register.count(&zone, own, ms(100)), 60, "router {index}");
+        assert_eq!(router_table.count(&zone, own, ms(100)), 60, "router {index}");
     }
 }
 
 /// Three routers of a zone of twelve die at once. The others must not count them for ever.
 #[test]
 fn routers_that_died_are_not_counted_for_long() {
-    let mut meeting = MeetingPoint::default();
-    let mut register = RouterRegister::default();
+    let mut registry = PresenceRegistry::default();
+    let mut router_table = RouterTable::default();
     let zone: ZoneName = "a".into();
     for second in 0..20 {
         let now = ms(second * 1_000);
         for index in 0..if second < 5 { 12 } else { 9 } {
-            let directory = meeting.take(&presence("a", index, true), now);
-            register.note(&directory, now);
+            let directory = registry.take(&presence("a", index, true), now);
+            router_table.note(&directory, now);
         }
-        let count = register.count(&zone, router(0), now);
+        let count = router_table.count(&zone, router(0), now);
         match second {
             0..9 => assert_eq!(count, 12, "second {second}"),
             15.. => assert_eq!(count, 9, "second {second}"),
@@ -131,32 +132,32 @@
 /// Routers of other zones come by only to ask for a number. Counted here, each would count several times.
 #[test]
 fn a_zone_is_counted_where_its_routers_meet() {
-    let mut meeting = MeetingPoint::default();
+    let mut registry = PresenceRegistry::default();
     for index in 0..5 {
-        meeting.take(&presence("a", index, true), ms(0));
+        registry.take(&presence("a", index, true), ms(0));
     }
-    let directory = meeting.take(&presence("b", 50, false), ms(10));
+    let directory = registry.take(&presence("b", 50, false), ms(10));
     assert_eq!(directory.counts, [("a".into(), 5)]);
-    assert_eq!(directory.near, [router(50)]);
-    assert_eq!(directory.far.len(), 4, "to be asked while zone b cannot reach the store");
+    assert_eq!(directory.same_zone, [router(50)]);
+    assert_eq!(directory.other_zones.len(), 4, "to be asked while zone b cannot reach the store");
 }
 
 /// A zone is cut off. Its routers must still count in the shares of a common budget for a while, since they
 /// go on taking from it, but not for ever.
 #[test]
 fn routers_of_a_parted_zone_count_for_a_while() {
-    let mut there = MeetingPoint::default();
-    let mut here = MeetingPoint::default();
-    let mut register = RouterRegister::default();
+    let mut there = PresenceRegistry::default();
+    let mut here = PresenceRegistry::default();
+    let mut router_table = RouterTable::default();
     let zone: ZoneName = "a".into();
     for index in 10..17 {
         there.take(&presence("b", index, true), ms(0));
     }
-    register.note(&there.take(&presence("a", 1, false), ms(0)), ms(0));
+    router_table.note(&there.take(&presence("a", 1, false), ms(0)), ms(0));
     for second in 0..40 {
         let now = ms(second * 1_000);
-        register.note(&here.take(&presence("a", 1, true), now), now);
-        let count = register.count(&zone, router(1), now);
+        router_table.note(&here.take(&presence("a", 1, true), now), now);
+        let count = router_table.count(&zone, router(1), now);
         assert_eq!(count, if second < 20 { 8 } else { 1 }, "second {second}");
     }
 }
@@ -165,16 +166,16 @@
 /// low a one each router takes too much of the budget that all share.
 #[test]
 fn the_highest_number_told_lately_counts() {
-    let mut full = MeetingPoint::default();
-    let mut fresh = MeetingPoint::default();
+    let mut full = PresenceRegistry::default();
+    let mut fresh = PresenceRegistry::default();
     for index in 0..10 {
         full.take(&presence("a", index, true), ms(0));
     }
     let own = presence("a", 0, true);
-    let mut register = RouterRegister::default();
-    register.note(&full.take(&own, ms(10)), ms(10));
-    register.note(&fresh.take(&own, ms(20)), ms(20));
-    assert_eq!(register.count(&"a".into(), router(0), ms(20)), 10);
+    let mut router_table = RouterTable::default();
+    router_table.note(&full.take(&own, ms(10)), ms(10));
+    router_table.note(&fresh.take(&own, ms(20)), ms(20));
+    assert_eq!(router_table.count(&"a".into(), router(0), ms(20)), 10);
 }
 
 /// Routers of a fleet that has just started must learn all numbers soon, and later not ask for all of them
@@ -182,40 +183,40 @@
 /// not when the zone comes round.
 #[test]
 fn zones_without_a_number_are_asked_each_turn() {
-    let mut there = MeetingPoint::default();
-    let mut register = RouterRegister::default();
+    let mut there = PresenceRegistry::default();
+    let mut router_table = RouterTable::default();
     let zones: Vec<ZoneName> = vec!["b".into(), "c".into(), "d".into()];
     for zone in ["b", "d"] {
         let directory = there.take(&presence(zone, 5, true), ms(0));
-        register.note(&directory, ms(0));
+        router_table.note(&directory, ms(0));
     }
-    assert_eq!(register.zones_to_ask(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
-    assert_eq!(register.zones_to_ask(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
-    assert_eq!(register.zones_to_ask(&zones, 10, ms(10_000)), [&zones[1]]);
-    assert!(register.zones_to_ask(&[], 10, ms(10_000)).is_empty());
+    assert_eq!(router_table.zones_to_ask(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
+    assert_eq!(router_table.zones_to_ask(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
+    assert_eq!(router_table.zones_to_ask(&zones, 10, ms(10_000)), [&zones[1]]);
+    assert!(router_table.zones_to_ask(&[], 10, ms(10_000)).is_empty());
 }
 
 /// Guards against a router that takes itself for the only one because nobody has told it of others yet.
 #[test]
 fn a_router_that_met_nobody_presumes_others() {
-    let mut register = RouterRegister::default();
+    let mut router_table = RouterTable::default();
     let (started, later) = (ms(1_000), ms(10_000));
-    assert!(register.presumed(1, started, later) >= 330, "nothing was read");
-    register.note_listed();
-    assert!(register.presumed(1, started, ms(1_500)) >= 330, "others have just started too");
-    assert_eq!(register.presumed(1, started, later), 1);
+    assert!(router_table.presumed(1, started, later) >= 330, "nothing was read");
+    router_table.note_listed();
+    assert!(router_table.presumed(1, started, ms(1_500)) >= 330, "others have just started too");
+    assert_eq!(router_table.presumed(1, started, later), 1);
     for name in ["a", "b", "a"] {
-        register.note_name(&name.into(), later);
+        router_table.note_name(&name.into(), later);
     }
-    assert_eq!(register.presumed(1, started, later), 3);
-    assert_eq!(register.presumed(7, started, later), 7, "loaders know more");
+    assert_eq!(router_table.presumed(1, started, later), 3);
+    assert_eq!(router_table.presumed(7, started, later), 7, "loaders know more");
     // Nobody can renew a report while the store is out.
-    register.set_lost(true, later);
-    register.expire(ms(100_000_000));
-    assert_eq!(register.presumed(1, started, ms(100_000_000)), 3);
-    register.set_lost(false, ms(100_000_000));
-    register.expire(ms(100_000_001));
-    assert_eq!(register.presumed(1, started, ms(100_000_001)), 3);
-    register.expire(ms(200_000_000));
-    assert_eq!(register.presumed(1, started, ms(200_000_000)), 1, "gone for good");
+    router_table.set_lost(true, later);
+    router_table.expire(ms(100_000_000));
+    assert_eq!(router_table.presumed(1, started, ms(100_000_000)), 3);
+    router_table.set_lost(false, ms(100_000_000));
+    router_table.expire(ms(100_000_001));
+    assert_eq!(router_table.presumed(1, started, ms(100_000_001)), 3);
+    router_table.expire(ms(200_000_000));
+    assert_eq!(router_table.presumed(1, started, ms(200_000_000)), 1, "gone for good");
 }
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -6,7 +6,7 @@
 use plantain_core::{
     direct::{
         call::AdapterId,
-        directory::{MeetingPoint, RouterPresence, RouterRegister, meeting_targets},
+        directory::{PresenceRegistry, RouterPresence, RouterTable, registry_targets},
         loader::{LoaderMachine, LoaderStep},
         membership::{BaseHolding, InstanceId, TargetEntry, TargetIncarnation},
         messages::{LoaderMessage, RouterMessage},
@@ -52,14 +52,14 @@
 struct Router {
     pool: TargetPool,
     schedule: NoticeSchedule,
-    register: RouterRegister,
+    router_table: RouterTable,
     presences: usize,
     incarnation: u64,
 }
 
 struct Loader {
     machine: LoaderMachine,
-    meeting: MeetingPoint,
+    registry: PresenceRegistry,
     engine: EngineReport,
     is_alive: bool,
 }
@@ -186,7 +186,7 @@
         counts
             .map(|(index, router)| {
                 let (zone, own) = (zone_name(index), router_address(index));
-                router.register.count(&zone, own, ms(self.now))
+                router.router_table.count(&zone, own, ms(self.now))
             })
             .collect()
     }
@@ -341,26 +341,27 @@
         let turn = router.presences;
         router.presences += 1;
         let zones: Vec<ZoneName> = (0..ZONES).map(zone_name).filter(|z| *z != zone).collect();
-        let asked = router.register.zones_to_ask(&zones, turn, ms(self.now));
+        let asked = router.router_table.zones_to_ask(&zones, turn, ms(self.now));
         let asked: Vec<usize> =
-            asked.into_iter().map(|other| self.meeting(other)[turn % 2]).collect();
-        let mut own = self.meeting(&zone);
+            asked.into_iter().map(|other| self.registry(other)[turn % 2]).collect();
+        let mut own = self.registry(&zone);
         if turn > 0 {
             own = vec![own[turn % own.len()]];
         }
         let own = own.into_iter().map(|loader| (loader, true));
-        for (loader, meets_here) in own.chain(asked.into_iter().map(|loader| (loader, false))) {
+        for (loader, registers_here) in own.chain(asked.into_iter().map(|loader| (loader, false))) {
             let (zone, address) = (zone.clone(), router_address(index));
-            let presence = RouterPresence { zone, address, meets_here, limit_updates: Vec::new() };
+            let presence =
+                RouterPresence { zone, address, registers_here, limit_updates: Vec::new() };
             self.send_to_loader(index, loader, RouterMessage::Presence(presence));
         }
     }
 
     /// Loaders at which the routers of a zone meet.
-    fn meeting(&self, zone: &ZoneName) -> Vec<usize> {
+    fn registry(&self, zone: &ZoneName) -> Vec<usize> {
         let engines: Vec<(InstanceId, ZoneName)> =
             (0..self.plan.engines).map(|index| (engine_name(index), zone_name(index))).collect();
-        let chosen = meeting_targets(zone, engines.iter().map(|(id, zone)| (id, zone)));
+        let chosen = registry_targets(zone, engines.iter().map(|(id, zone)| (id, zone)));
         let index_of = |id: &InstanceId| engines.iter().position(|(own, _)| own == id);
         chosen.iter().filter_map(index_of).collect()
     }
@@ -377,7 +378,7 @@
                 self.reply(index);
             }
             RouterMessage::Presence(presence) => {
-                let directory = loader.meeting.take(&presence, now);
+                let directory = loader.registry.take(&presence, now);
                 self.send_to_router(index, router, LoaderMessage::Directory(directory));
             }
             RouterMessage::Usage(_) => {}
@@ -391,7 +392,7 @@
             LoaderMessage::Report(report) => {
                 router.pool.take_report(host(index).ip(), report, now);
             }
-            LoaderMessage::Directory(directory) => router.register.note(&directory, now),
+            LoaderMessage::Directory(directory) => router.router_table.note(&directory, now),
             LoaderMessage::Grant(_) | LoaderMessage::Presence(_) => {}
         }
     }
@@ -459,15 +460,15 @@
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list((0..plan.engines).map(entry).collect(), ms(0));
     let boot = incarnation * 1_000_000 + index as u64;
-    let register = RouterRegister::default();
-    Router { pool, schedule: NoticeSchedule::new(boot), register, presences: 0, incarnation }
+    let router_table = RouterTable::default();
+    Router { pool, schedule: NoticeSchedule::new(boot), router_table, presences: 0, incarnation }
 }
 
 fn new_loader(index: usize, incarnation: u64, is_alive: bool) -> Loader {
     let base = BaseHolding { base: BASE.into(), version: 1, adapters: BTreeMap::new() };
     let engine = EngineReport { holdings: vec![base], ..EngineReport::default() };
     let machine = LoaderMachine::new(incarnation * 1_000_000 + index as u64);
-    Loader { machine, meeting: MeetingPoint::default(), engine, is_alive }
+    Loader { machine, registry: PresenceRegistry::default(), engine, is_alive }
 }
 
 fn carry_out(engine: &mut EngineReport, verb: &OrderVerb) {
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -4,7 +4,7 @@
 use super::super::support::{ENGINES, ms, target};
 use plantain_core::{
     direct::{
-        directory::{MeetingPoint, PeerView, RouterPresence, RouterRegister},
+        directory::{PeerView, PresenceRegistry, RouterPresence, RouterTable},
         membership::{BaseHolding, ListChange, TargetEntry},
         sharing::{
             ChangeImportance, ChangeLog, LoggedChange, SharedChange, SharedDelta,
@@ -53,7 +53,7 @@
 
 struct Router {
     machine: SourceMachine,
-    register: RouterRegister,
+    router_table: RouterTable,
     view: PeerView,
     log: ChangeLog,
     revision: Option<u64>,
@@ -88,7 +88,7 @@
 pub struct Zone {
     now: u64,
     routers: Vec<Router>,
-    meeting: MeetingPoint,
+    registry: PresenceRegistry,
     /// Changes in the store, one a revision.
     changes: Vec<LoggedChange>,
     engines: usize,
@@ -127,7 +127,7 @@
         let mut zone = Self {
             now: 0,
             routers: Vec::new(),
-            meeting: MeetingPoint::default(),
+            registry: PresenceRegistry::default(),
             changes: Vec::new(),
             engines,
             is_out: false,
@@ -209,11 +209,11 @@
         if self.now % PRESENCE_PAUSE == index as u64 * STEP % PRESENCE_PAUSE {
             let (zone, address) = (zone_name(), address(index));
             let limit_updates = Vec::new();
-            let presence = RouterPresence { zone, address, meets_here: true, limit_updates };
-            let directory = self.meeting.take(&presence, ms(self.now));
+            let presence = RouterPresence { zone, address, registers_here: true, limit_updates };
+            let directory = self.registry.take(&presence, ms(self.now));
             let router = &mut self.routers[index];
-            router.register.note(&directory, ms(self.now));
-            router.view = router.register.view(&zone_name(), address, ms(self.now));
+            router.router_table.note(&directory, ms(self.now));
+            router.view = router.router_table.view(&zone_name(), address, ms(self.now));
         }
         if self.routers[index].revision.is_none() {
             self.list(index);
@@ -222,7 +222,7 @@
         let now = ms(self.now);
         let router = &mut self.routers[index];
         let view = SourceView {
-            order: &router.view.near,
+            order: &router.view.same_zone,
             is_listed: true,
             heard_at: ms(router.heard_at),
             drain_time: ms(DRAIN),
@@ -233,7 +233,7 @@
         match router.question {
             Some(question) => self.follow_question(index, question),
             None if self.now >= router.next_question => {
-                let upstream = router.machine.upstream(&router.view.near).map(router_index);
+                let upstream = router.machine.upstream(&router.view.same_zone).map(router_index);
                 router.question = upstream.map(|upstream| Question { upstream, asked: self.now });
             }
             None => {}
@@ -342,7 +342,7 @@
 fn new_router(index: usize, now: u64) -> Router {
     Router {
         machine: SourceMachine::new(address(index)),
-        register: RouterRegister::default(),
+        router_table: RouterTable::default(),
         view: PeerView::default(),
         log: ChangeLog::default(),
         revision: None,
--- a/crates/daemon/src/loader.rs
+++ b/crates/daemon/src/loader.rs
@@ -12,7 +12,7 @@
 use metrics::{counter, gauge, histogram};
 use plantain_core::{
     direct::{
-        directory::MeetingPoint,
+        directory::PresenceRegistry,
         limits::meter::UsageMeter,
         loader::{LoaderMachine, LoaderStep},
         membership::InstanceId,
@@ -63,7 +63,7 @@
 
 struct LoaderDuty {
     machine: LoaderMachine,
-    meeting: MeetingPoint,
+    registry: PresenceRegistry,
     meter: UsageMeter,
     limits: LimitTable,
     engine: Rc<EngineClient>,
@@ -86,7 +86,7 @@
     fn new(settings: watch::Receiver<Arc<LoaderFile>>, socket: UdpSocket, logger: Logger) -> Self {
         Self {
             machine: LoaderMachine::new(rand::random()),
-            meeting: MeetingPoint::default(),
+            registry: PresenceRegistry::default(),
             meter: UsageMeter::new(rand::random()),
             limits: LimitTable::default(),
             engine: Rc::new(EngineClient::new()),
@@ -168,7 +168,7 @@
             Ok(RouterMessage::Notice(notice)) => self.machine.take_notice(router, notice, now),
             Ok(RouterMessage::Presence(presence)) => {
                 self.limits.take(&presence.limit_updates, now);
-                let mut directory = self.meeting.take(&presence, now);
+                let mut directory = self.registry.take(&presence, now);
                 directory.limit_updates = self.limits.answer(&presence.limit_updates, now);
                 self.send(&LoaderMessage::Directory(directory), &[router]);
             }
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -12,7 +12,7 @@
     direct::{
         budget::RepeatBudget,
         call::{AdapterId, ModelCall},
-        directory::{MeetingPoint, PeerView, RouterDirectory, RouterRegister},
+        directory::{PeerView, PresenceRegistry, RouterDirectory, RouterTable},
         limits::terms::FleetSize,
         membership::TargetIncarnation,
         selection::{CallNeed, adapter_of, preferred_targets},
@@ -70,11 +70,11 @@
     pub(crate) stopping: watch::Receiver<bool>,
     started: Timestamp,
     budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
-    routers: RefCell<RouterRegister>,
+    routers: RefCell<RouterTable>,
     /// Wakes the one who tells the control thread of the other routers.
     pub(crate) routers_heard: Notify,
     /// Routers that come by at this one, since they know no loader.
-    pub(crate) meeting: RefCell<MeetingPoint>,
+    pub(crate) registry: RefCell<PresenceRegistry>,
 }
 
 impl RouterContext {
@@ -106,7 +106,7 @@
             budgets: RefCell::default(),
             routers: RefCell::default(),
             routers_heard: Notify::new(),
-            meeting: RefCell::default(),
+            registry: RefCell::default(),
         })
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Changes what is known of the other routers.
-    pub(crate) fn routers_mut(&self) -> RefMut<'_, RouterRegister> {
+    pub(crate) fn routers_mut(&self) -> RefMut<'_, RouterTable> {
         self.routers.borrow_mut()
     }
 
--- a/crates/daemon/src/router/control/link.rs
+++ b/crates/daemon/src/router/control/link.rs
@@ -168,8 +168,8 @@
     pub(in crate::router) fn peers(&self) -> Vec<SocketAddr> {
         let settings = self.settings.borrow();
         let view = self.peers.borrow();
-        let mut peers: Vec<SocketAddr> = view.near.routers().collect();
-        peers.extend(&view.far);
+        let mut peers: Vec<SocketAddr> = view.same_zone.routers().collect();
+        peers.extend(&view.other_zones);
         peers.extend(&settings.peers);
         peers.sort_unstable();
         peers.dedup();
@@ -200,7 +200,7 @@
         if !is_new || self.has_silent_teller.get() || self.state.borrow().is_complete() {
             return None;
         }
-        self.peers.borrow().near.bootstrap_upstream(self.own_address())
+        self.peers.borrow().same_zone.bootstrap_upstream(self.own_address())
     }
 
     /// The first teller does not tell: this router reads for itself.
@@ -238,7 +238,7 @@
     /// Waits until it is known that this router has to read the store for itself, or until it has what it needs.
     pub(in crate::router) async fn reads_itself(&self) {
         loop {
-            let is_named = !self.peers.borrow().near.is_empty();
+            let is_named = !self.peers.borrow().same_zone.is_empty();
             let may_be_named = !is_named && self.age() < NAME_WAIT;
             if self.is_listed() || !(may_be_named || self.bootstrap_upstream().is_some()) {
                 return;
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -5,7 +5,7 @@
 use metrics::counter;
 use plantain_core::{
     direct::{
-        directory::{RouterPresence, meeting_targets},
+        directory::{RouterPresence, registry_targets},
         membership::{InstanceId, TargetIncarnation},
         messages::{LoaderMessage, LoaderReport, RouterMessage},
         notices::NoticeSchedule,
@@ -69,7 +69,7 @@
         match postcard::from_bytes::<LoaderMessage>(datagram) {
             Ok(LoaderMessage::Report(report)) => self.take_report(report, sender.ip()),
             Ok(LoaderMessage::Presence(presence)) => {
-                let directory = self.context.meeting.borrow_mut().take(&presence, clock::now());
+                let directory = self.context.registry.borrow_mut().take(&presence, clock::now());
                 self.send(sender.ip(), &LoaderMessage::Directory(directory));
             }
             Ok(LoaderMessage::Directory(directory)) => {
@@ -169,12 +169,12 @@
             let settings = self.context.settings.borrow();
             (Arc::clone(&settings.zone), settings.peer_listen)
         };
-        let mut own = self.meeting_hosts(&zone);
+        let mut own = self.registry_hosts(&zone);
         if own.is_empty() {
-            self.meet_at_routers(&RouterPresence {
+            self.register_at_routers(&RouterPresence {
                 zone,
                 address,
-                meets_here: true,
+                registers_here: true,
                 limit_updates: Vec::new(),
             });
             return;
@@ -190,20 +190,20 @@
             let presence = RouterPresence {
                 zone,
                 address,
-                meets_here: true,
+                registers_here: true,
                 limit_updates: limit_updates.clone(),
             };
             self.send(host, &RouterMessage::Presence(presence));
         }
         let others = self.other_zones(&zone);
         for other in self.context.zones_to_ask(&others, turn) {
-            let hosts = self.meeting_hosts(other);
+            let hosts = self.registry_hosts(other);
             let Some(host) = hosts.choose(&mut rand::rng()) else { continue };
             let zone = Arc::clone(&zone);
             let presence = RouterPresence {
                 zone,
                 address,
-                meets_here: false,
+                registers_here: false,
                 limit_updates: limit_updates.clone(),
             };
             self.send(*host, &RouterMessage::Presence(presence));
@@ -211,7 +211,7 @@
     }
 
     /// Comes by at the routers of the settings, while no loader is known.
-    fn meet_at_routers(&self, presence: &RouterPresence) {
+    fn register_at_routers(&self, presence: &RouterPresence) {
         let peers = self.context.settings.borrow().peers.clone();
         for peer in peers {
             self.send(peer.ip(), &LoaderMessage::Presence(presence.clone()));
@@ -226,10 +226,10 @@
     }
 
     /// Hosts of the loaders at which the routers of a zone meet.
-    fn meeting_hosts(&self, zone: &ZoneName) -> Vec<IpAddr> {
-        let meeting = zone_meeting(&self.context, zone);
+    fn registry_hosts(&self, zone: &ZoneName) -> Vec<IpAddr> {
+        let registry = zone_registry(&self.context, zone);
         let pool = self.context.pool.borrow();
-        let hosts = meeting
+        let hosts = registry
             .iter()
             .filter_map(|id| pool.engines().find(|engine| engine.entry.incarnation.id == *id));
         hosts.map(|engine| engine.entry.address.ip()).collect()
@@ -261,11 +261,11 @@
 }
 
 /// The targets beside whose loaders the routers of a zone meet.
-fn zone_meeting(context: &RouterContext, zone: &ZoneName) -> Vec<InstanceId> {
+fn zone_registry(context: &RouterContext, zone: &ZoneName) -> Vec<InstanceId> {
     let pool = context.pool.borrow();
     let alive = pool.engines().filter(|target| !target.is_draining() && !target.has_ended());
     let alive = alive.map(|target| (&target.entry.incarnation.id, &target.entry.zone));
-    meeting_targets(zone, alive)
+    registry_targets(zone, alive)
 }
 
 /// Looks which loaders are meters: those at which the routers of any zone meet, while a customer or a target has a
@@ -278,7 +278,7 @@
     let mut meters = Vec::new();
     if is_limited {
         let zones = all_zones(context);
-        meters.extend(zones.iter().flat_map(|zone| zone_meeting(context, zone)));
+        meters.extend(zones.iter().flat_map(|zone| zone_registry(context, zone)));
         meters.sort_unstable();
         meters.dedup();
     }
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -57,7 +57,7 @@
 
 impl UpstreamListener {
     async fn turn(&mut self) {
-        let order = self.link.peer_view().near;
+        let order = self.link.peer_view().same_zone;
         let view = SourceView {
             order: &order,
             is_listed: self.link.is_listed(),
