--- a/crates/core/src/direct/pressure.rs
+++ b/crates/core/src/direct/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load of plain targets, judged by how long their answers take, and how much of it to turn away.
+//! Load shedding for plain targets: how loaded they are by the time of their answers, and how many calls to turn away.
 //!
 //! Pattern: a service loses some of its targets, or many callers come at once, and calls arrive faster
 //! than the rest can work. A target's own queue then stays full: as many calls are served as with a
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -6,11 +6,11 @@
 //! effect, and the next report tells which.
 
 mod host_memory;
+pub mod load_limiter;
 mod lost_orders;
 mod plan;
 mod replies;
 mod report;
-pub mod transit;
 
 use super::{
     backlog::PromptBacklog,
@@ -25,6 +25,7 @@
     ids::{BootId, Timestamp},
 };
 use host_memory::HostMemory;
+use load_limiter::{LoadLimiter, LoadStart};
 use lost_orders::LostOrders;
 use replies::{EngineState, ToldMet};
 use std::{
@@ -33,10 +34,9 @@
     sync::Arc,
     time::Duration,
 };
-use transit::{LoadStart, TransitGauge};
 
 /// Adapters that may be on their way to an engine at once, as the engines allow.
-pub const TRANSIT_LIMIT: usize = 4;
+pub const MAX_CONCURRENT_LOADS: usize = 4;
 /// Age after which a router's notice counts no more; routers send one at least each second.
 const NOTICE_TTL: Duration = Duration::from_millis(2_500);
 /// Time for which a load request must have waited before an adapter in use gives way to it. The unload waits
@@ -137,7 +137,7 @@
     lost: LostOrders,
     /// Loads on their way.
     loading: HashMap<AdapterId, LoadStart>,
-    transit: TransitGauge,
+    load_limiter: LoadLimiter,
     backlog: PromptBacklog,
     memory: HostMemory,
     /// Whether the engine has reported since this process started.
@@ -174,7 +174,7 @@
             demand: HashMap::new(),
             lost: LostOrders::default(),
             loading: HashMap::new(),
-            transit: TransitGauge::new(TRANSIT_LIMIT),
+            load_limiter: LoadLimiter::new(MAX_CONCURRENT_LOADS),
             backlog: PromptBacklog::default(),
             memory: HostMemory::default(),
             has_met: false,
@@ -196,8 +196,8 @@
     }
 
     /// Loads on their way from the weight store, and the gauge that bounds them.
-    pub fn transit(&self) -> (usize, &TransitGauge) {
-        (self.far_loads(), &self.transit)
+    pub fn load_limiter(&self) -> (usize, &LoadLimiter) {
+        (self.far_loads(), &self.load_limiter)
     }
 
     /// Age of the last report at `now`.
@@ -268,7 +268,7 @@
             self.instance = None;
         }
         if !std::mem::replace(&mut self.has_met, true) && report.order_count > 0 {
-            self.transit = TransitGauge::new(TRANSIT_LIMIT).with_unknown_memory();
+            self.load_limiter = LoadLimiter::new(MAX_CONCURRENT_LOADS).with_unknown_memory();
         }
         self.is_answering = true;
         self.polled = now;
@@ -307,8 +307,8 @@
             }
             let time = now.saturating_sub(start.at);
             if !start.is_near {
-                self.transit.record(time);
-            } else if time > self.transit.expected().mul_f64(FAR_SHARE) {
+                self.load_limiter.record(time);
+            } else if time > self.load_limiter.expected().mul_f64(FAR_SHARE) {
                 self.memory.forget_older(&id);
             }
             self.memory.note(id, now);
@@ -317,7 +317,7 @@
 
     /// How long a load that begins now is expected to take.
     fn expected_load(&self, id: &AdapterId) -> Duration {
-        let time = self.transit.expected();
+        let time = self.load_limiter.expected();
         if self.memory.holds(id) { time.mul_f64(NEAR_SHARE) } else { time }
     }
 
--- a/crates/core/src/direct/loader/transit.rs
+++ b/crates/core/src/direct/loader/load_limiter.rs
@@ -41,7 +41,7 @@
 
 /// Times of loads from the weight store, and the window of loads that they allow.
 #[derive(Debug)]
-pub struct TransitGauge {
+pub struct LoadLimiter {
     /// Times of loads of which it is not known where they come from.
     samples: VecDeque<Duration>,
     has_sample: bool,
@@ -54,7 +54,7 @@
     unknown: usize,
 }
 
-impl TransitGauge {
+impl LoadLimiter {
     /// Starts with a window of one load; the engine itself takes at most `limit`.
     pub fn new(limit: usize) -> Self {
         Self {
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -1,6 +1,6 @@
 //! Which order comes next: the order of load requests, the window of loads, and what gives way.
 
-use super::{LoaderMachine, PATIENCE, TRANSIT_LIMIT, requested_adapter};
+use super::{LoaderMachine, MAX_CONCURRENT_LOADS, PATIENCE, requested_adapter};
 use crate::{
     direct::{
         call::AdapterId,
@@ -32,7 +32,7 @@
         }
         let newest = self.notices.values().max_by_key(|state| state.received)?;
         let slots = usize::from(newest.notice.adapter_slots);
-        if report.loading.len() >= TRANSIT_LIMIT {
+        if report.loading.len() >= MAX_CONCURRENT_LOADS {
             return None;
         }
         let load_requests = self.requests_in_order(report, now);
@@ -59,7 +59,8 @@
         if self.memory.holds(&requested_adapter(request)) {
             return true;
         }
-        far < self.transit.window() && (request.waiting > 0 || !self.transit.is_congested())
+        far < self.load_limiter.window()
+            && (request.waiting > 0 || !self.load_limiter.is_congested())
     }
 
     /// Slots kept free for loads that an earlier incarnation of the engine never answered.
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -37,7 +37,7 @@
             free_slots: self.free_slots(report, &awaited, now),
             holdings: report.holdings.clone(),
             loading: loading.collect(),
-            load_ms: as_millis(self.transit.expected()),
+            load_ms: as_millis(self.load_limiter.expected()),
             queue_ms: as_millis(self.load_queue(&awaited, now)),
             active: report.active,
             queued: report.queued,
@@ -75,9 +75,9 @@
             self.is_in_time(request, now) && !self.memory.holds(&requested_adapter(request))
         });
         let before = waiting.count() + self.far_loads();
-        let window = self.transit.window();
+        let window = self.load_limiter.window();
         // With room in the window, a load begins at once.
         let turns = (before + 1).saturating_sub(window) as f64 / window as f64;
-        self.transit.expected().mul_f64(turns)
+        self.load_limiter.expected().mul_f64(turns)
     }
 }
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -5,9 +5,9 @@
     backlog::unread_after,
     call::AdapterId,
     health::TargetHealth,
+    load_shedding::LatencyGauge,
     membership::{BaseHolding, TargetEntry},
     messages::{AdapterUse, LoadRequest, LoaderReport},
-    pressure::LatencyGauge,
     target_limit::KnownLimit,
 };
 use crate::ids::{AdapterVersion, Timestamp};
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -11,9 +11,9 @@
     demand::FleetDemand,
     health::CallOutcome,
     limits::LimitTag,
+    load_shedding::ConcurrencyGauge,
     membership::{InstanceId, ListChange, TargetEntry, TargetIncarnation, TargetList},
     messages::{BaseOffer, LoaderReport},
-    pressure::ConcurrencyGauge,
     target::{LoadRequestState, TargetState},
     waits::WaitEstimates,
 };
--- a/crates/core/tests/core/direct/transit.rs
+++ b/crates/core/tests/core/direct/load_limiter.rs
@@ -1,7 +1,7 @@
 //! The window of loads that a loader keeps on their way, against a weight store that all loaders share.
 
 use super::support::ms;
-use plantain_core::direct::loader::transit::TransitGauge;
+use plantain_core::direct::loader::load_limiter::LoadLimiter;
 use quickcheck::QuickCheck;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 /// All loaders keep their windows full for a while; returns how many loads are then on their way.
-fn settle(loaders: &mut [TransitGauge], store: &SharedStore) -> usize {
+fn settle(loaders: &mut [LoadLimiter], store: &SharedStore) -> usize {
     for _ in 0..ROUNDS {
         let time = store.load_time(on_their_way(loaders));
         for loader in loaders.iter_mut() {
@@ -34,12 +34,12 @@
     on_their_way(loaders)
 }
 
-fn on_their_way(loaders: &[TransitGauge]) -> usize {
-    loaders.iter().map(TransitGauge::window).sum()
+fn on_their_way(loaders: &[LoadLimiter]) -> usize {
+    loaders.iter().map(LoadLimiter::window).sum()
 }
 
-fn gauges(count: usize) -> Vec<TransitGauge> {
-    (0..count).map(|_| TransitGauge::new(LIMIT)).collect()
+fn gauges(count: usize) -> Vec<LoadLimiter> {
+    (0..count).map(|_| LoadLimiter::new(LIMIT)).collect()
 }
 
 /// Whatever the store allows and however many engines share it: loads are not slowed down much beyond what
@@ -110,7 +110,7 @@
 /// The first load of a life tells more than any assumption.
 #[test]
 fn the_first_load_replaces_the_prior() {
-    let mut gauge = TransitGauge::new(LIMIT);
+    let mut gauge = LoadLimiter::new(LIMIT);
     gauge.record(ms(40));
     assert_eq!(gauge.expected(), ms(40));
     assert!(!gauge.is_congested());
@@ -123,7 +123,7 @@
 /// stayed at one, and calls waited for seconds although the store was idle.
 #[test]
 fn loads_from_the_hosts_memory_do_not_make_the_store_look_slow() {
-    let mut gauge = TransitGauge::new(LIMIT).with_unknown_memory();
+    let mut gauge = LoadLimiter::new(LIMIT).with_unknown_memory();
     for time in [45, 48, 260, 44, 270, 255, 46, 262, 258] {
         gauge.record(ms(time));
     }
@@ -135,7 +135,7 @@
 /// After a start nothing is known of the store, and many calls wait: the window opens within a few loads.
 #[test]
 fn the_window_opens_fast_at_first() {
-    let mut gauge = TransitGauge::new(LIMIT);
+    let mut gauge = LoadLimiter::new(LIMIT);
     for _ in 0..2 {
         gauge.record(ms(250));
     }
--- a/crates/core/tests/core/direct/pressure.rs
+++ b/crates/core/tests/core/direct/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load of plain targets: one of three is left, and calls come twice as fast as it can work.
 
 use super::support::ms;
-use plantain_core::direct::pressure::{ConcurrencyGauge, LatencyGauge, shed_share};
+use plantain_core::direct::load_shedding::{ConcurrencyGauge, LatencyGauge, shed_share};
 use std::{collections::VecDeque, time::Duration};
 
 const OBJECTIVE: Duration = Duration::from_millis(150);
