--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -13,7 +13,7 @@
 mod report;
 
 use super::{
-    backlog::PromptBacklog,
+    backlog::PrefillBacklog,
     call::AdapterId,
     demand::RECENT_HALF_LIFE,
     membership::{InstanceId, TargetIncarnation},
@@ -138,7 +138,7 @@
     /// Loads on their way.
     loading: HashMap<AdapterId, LoadStart>,
     load_limiter: LoadLimiter,
-    backlog: PromptBacklog,
+    backlog: PrefillBacklog,
     memory: HostMemory,
     /// Whether the engine has reported since this process started.
     has_met: bool,
@@ -175,7 +175,7 @@
             lost: LostOrders::default(),
             loading: HashMap::new(),
             load_limiter: LoadLimiter::new(MAX_CONCURRENT_LOADS),
-            backlog: PromptBacklog::default(),
+            backlog: PrefillBacklog::default(),
             memory: HostMemory::default(),
             has_met: false,
             timely_loads: 0,
@@ -289,7 +289,7 @@
         self.instance = None;
         self.lost.begin_incarnation();
         self.loading.clear();
-        self.backlog = PromptBacklog::default();
+        self.backlog = PrefillBacklog::default();
         self.memory = HostMemory::default();
         for state in self.notices.values_mut() {
             state.met.clear();
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -42,7 +42,7 @@
             active: report.active,
             queued: report.queued,
             kv_used: report.kv_used,
-            unread_tokens: self.backlog.read(now),
+            prefill_tokens: self.backlog.read(now),
         })
     }
 
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -142,6 +142,7 @@
     pub queued: u16,
     /// Tokens of memory in use that cannot be given up.
     pub kv_used: u32,
-    /// Tokens of prompts that the engine has most likely not read yet, of all routers' calls.
-    pub unread_tokens: u32,
+    /// Tokens of prompts that the engine has most likely not prefilled yet, of all routers' calls.
+    #[serde(rename = "unread_tokens")]
+    pub prefill_tokens: u32,
 }
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -231,10 +231,10 @@
     is_waited: bool,
     now: Timestamp,
 ) -> f64 {
-    let unread = target.unread_of_all(now) / TOKENS_PER_MS;
+    let prefill = target.fleet_prefill_tokens(now) / TOKENS_PER_MS;
     let stall =
         adapter.map_or(0.0, |adapter| stall_cost(pool, target, adapter, preferred, is_waited, now));
-    unread + stall + batch_cost(pool, target, call, now) + trouble_cost(target, now)
+    prefill + stall + batch_cost(pool, target, call, now) + trouble_cost(target, now)
 }
 
 fn batch_cost(pool: &TargetPool, target: &TargetState, call: &ModelCall, now: Timestamp) -> f64 {
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -2,7 +2,7 @@
 
 use super::{
     advertised_state::AdvertisedState,
-    backlog::unread_after,
+    backlog::prefill_left_after,
     call::AdapterId,
     health::TargetHealth,
     load_shedding::LatencyGauge,
@@ -74,7 +74,7 @@
     /// Calls of this router that it has and has not ended.
     pub in_flight: u32,
     /// Prompt tokens of those of them that have no first event yet.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
     /// Calls whose first byte is overdue.
     pub overdue: u32,
     /// How it did lately.
@@ -106,7 +106,7 @@
         Self {
             entry,
             in_flight: 0,
-            unread_tokens: 0,
+            prefill_tokens: 0,
             overdue: 0,
             health: TargetHealth::default(),
             latency: LatencyGauge::default(),
@@ -144,14 +144,14 @@
         is_new
     }
 
-    /// Prompt tokens of all routers' calls that it has most likely not read yet: those that its loader told,
-    /// less what it has read since, and at least this router's own.
-    pub fn unread_of_all(&self, now: Timestamp) -> f64 {
+    /// Prompt tokens of all routers' calls that it has most likely not prefilled yet: those that its loader
+    /// reported, less what it has processed since, and at least this router's own.
+    pub fn fleet_prefill_tokens(&self, now: Timestamp) -> f64 {
         let told = self.loader.as_ref().map_or(0.0, |view| {
             let age = now.saturating_sub(view.received);
-            unread_after(f64::from(view.report.unread_tokens), age)
+            prefill_left_after(f64::from(view.report.prefill_tokens), age)
         });
-        told.max(f64::from(self.unread_tokens))
+        told.max(f64::from(self.prefill_tokens))
     }
 
     /// Whether its loader was asked, and an answer may still come.
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -266,7 +266,7 @@
     ) -> bool {
         let Some(target) = self.target_mut(incarnation) else { return false };
         target.in_flight += 1;
-        target.unread_tokens += tokens;
+        target.prefill_tokens += tokens;
         let Some(adapter) = adapter else { return false };
         let counts = target.uses.entry(adapter.clone()).or_default();
         counts.running += 1;
@@ -278,14 +278,14 @@
     /// The first byte of a call's answer is there, so its prompt has been read.
     pub fn call_answered(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
         let Some(target) = self.target_mut(incarnation) else { return };
-        target.unread_tokens = target.unread_tokens.saturating_sub(tokens);
+        target.prefill_tokens = target.prefill_tokens.saturating_sub(tokens);
     }
 
     /// A call ended; `tokens` if its first byte never came.
     pub fn call_ended(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
         let Some(target) = self.target_mut(incarnation) else { return };
         target.in_flight = target.in_flight.saturating_sub(1);
-        target.unread_tokens = target.unread_tokens.saturating_sub(tokens);
+        target.prefill_tokens = target.prefill_tokens.saturating_sub(tokens);
     }
 
     /// A call's answer has ended that came `time` after its sending.
--- a/crates/core/tests/core/direct/backlog.rs
+++ b/crates/core/tests/core/direct/backlog.rs
@@ -2,7 +2,7 @@
 
 use super::support::{ENGINES, adapter, config, model_call, ms, pool, report, target};
 use plantain_core::direct::{
-    backlog::PromptBacklog,
+    backlog::PrefillBacklog,
     messages::LoaderReport,
     selection::{CallNeed, TargetChoice, choose_target},
     targets::TargetPool,
@@ -12,7 +12,7 @@
 /// Prompts come one after the other; each is read while the next ones wait.
 #[test]
 fn prompts_are_read_in_time() {
-    let mut backlog = PromptBacklog::default();
+    let mut backlog = PrefillBacklog::default();
     backlog.add(3_800, ms(1_000));
     assert_eq!(backlog.read(ms(1_000)), 3_800);
     assert_eq!(backlog.read(ms(1_050)), 1_900);
@@ -24,9 +24,9 @@
     assert_eq!(backlog.read(ms(5_000)), 380);
 }
 
-fn told(pool: &mut TargetPool, id: &str, unread_tokens: u32, at: u64) {
+fn told(pool: &mut TargetPool, id: &str, prefill_tokens: u32, at: u64) {
     let host = pool.target(&id.into()).expect("a known target").entry.address.ip();
-    let told = LoaderReport { unread_tokens, ..report(id, at as u32 + 1, &[("h7", 1)]) };
+    let told = LoaderReport { prefill_tokens, ..report(id, at as u32 + 1, &[("h7", 1)]) };
     pool.take_report(host, told, ms(at));
 }
 
@@ -62,10 +62,10 @@
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list(vec![Arc::new(target("e1", ENGINES, "a", 1))], ms(0));
     told(&mut pool, "e1", 7_600, 0);
-    let unread =
-        |pool: &TargetPool, at| pool.target(&"e1".into()).expect("e1").unread_of_all(ms(at));
-    assert!((unread(&pool, 100) - 3_800.0).abs() < 1.0);
-    assert!(unread(&pool, 1_000) < 1.0);
+    let prefill =
+        |pool: &TargetPool, at| pool.target(&"e1".into()).expect("e1").fleet_prefill_tokens(ms(at));
+    assert!((prefill(&pool, 100) - 3_800.0).abs() < 1.0);
+    assert!(prefill(&pool, 1_000) < 1.0);
     pool.call_started(&"e1".into(), Some(&adapter("h7")), 900);
-    assert!((unread(&pool, 1_000) - 900.0).abs() < 1.0, "this router's own, sent since");
+    assert!((prefill(&pool, 1_000) - 900.0).abs() < 1.0, "this router's own, sent since");
 }
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -196,12 +196,12 @@
     pool.apply_changes(&[ListChange::Put(listed_incarnation("e2", 4_000))], ms(30));
     assert!(pool.target(&first).is_none());
     let target = pool.target(&second).expect("the later life");
-    assert_eq!((target.in_flight, target.unread_tokens), (0, 0));
+    assert_eq!((target.in_flight, target.prefill_tokens), (0, 0));
     assert!(target.health.failure_share(ms(30)) < 0.001 && target.loader.is_none());
     pool.call_started(&second, None, 100);
     pool.call_ended(&first, 600);
     let target = pool.target(&second).expect("the later life");
-    assert_eq!((target.in_flight, target.unread_tokens), (1, 100), "its own call still runs");
+    assert_eq!((target.in_flight, target.prefill_tokens), (1, 100), "its own call still runs");
 }
 
 /// The list lags: it shows an engine's life before while the loader beside it has met the next one under
--- a/crates/core/tests/core/direct/support.rs
+++ b/crates/core/tests/core/direct/support.rs
@@ -113,7 +113,7 @@
         active: 0,
         queued: 0,
         kv_used: 0,
-        unread_tokens: 0,
+        prefill_tokens: 0,
     }
 }
 
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -21,7 +21,7 @@
     incarnation: TargetIncarnation,
     call: CallFingerprint,
     adapter: Option<AdapterId>,
-    unread: u32,
+    prefill_tokens: u32,
     sent: Timestamp,
     is_answered: bool,
     is_overdue: bool,
@@ -60,7 +60,7 @@
             incarnation: incarnation.clone(),
             call,
             adapter,
-            unread: tokens,
+            prefill_tokens: tokens,
             sent: clock::now(),
             is_answered: false,
             is_overdue: false,
@@ -98,8 +98,8 @@
     /// The first byte came.
     pub(crate) fn answered(&mut self) {
         self.is_answered = true;
-        let unread = std::mem::take(&mut self.unread);
-        self.context.pool.borrow_mut().call_answered(&self.incarnation, unread);
+        let prefill_tokens = std::mem::take(&mut self.prefill_tokens);
+        self.context.pool.borrow_mut().call_answered(&self.incarnation, prefill_tokens);
         self.set_overdue(false);
     }
 
@@ -122,7 +122,7 @@
         }
         {
             let mut pool = self.context.pool.borrow_mut();
-            pool.call_ended(&self.incarnation, self.unread);
+            pool.call_ended(&self.incarnation, self.prefill_tokens);
             if self.is_answered {
                 pool.run_ended(&self.incarnation, clock::now().saturating_sub(self.sent));
             }
