--- a/crates/core/src/direct/budget.rs
+++ b/crates/core/src/direct/budget.rs
@@ -1,4 +1,4 @@
-//! The fleet's budget of repeated sends to a service, kept by each router for its own share.
+//! The fleet's retry budget to a service, kept by each router for its own share.
 
 use crate::ids::Timestamp;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 /// Share of the fleet's allowance that is used: other routers' counts arrive late, and the rest is for
 /// routers that have just started.
 const USED_SHARE: f64 = 0.7;
-/// Repeats beyond the ratio at a router that has just started, in place of its share of the slack: enough
+/// Retries beyond the ratio at a router that has just started, in place of its share of the slack: enough
 /// for a first call that is refused. Thirty routers that start together take thirty, which the unused part
 /// of the allowance covers from 50 calls a second on.
 const FRESH_SLACK: f64 = 1.0;
 
-/// What the whole fleet may repeat.
+/// What the whole fleet may retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatAllowance {
-    /// Repeats for each first send in the window.
+pub struct RetryAllowance {
+    /// Retries for each first send in the window.
     pub ratio: f64,
-    /// Repeats beyond that in one window, over all routers.
+    /// Retries beyond that in one window, over all routers.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
@@ -28,20 +28,20 @@
 struct StepCounts {
     number: u64,
     calls: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Counts calls and repeats of one service over a sliding window.
+/// Counts calls and retries of one service over a sliding window.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
-    allowance: RepeatAllowance,
+pub struct FleetRetryBudget {
+    allowance: RetryAllowance,
     started: Timestamp,
     steps: [StepCounts; WINDOW_STEPS],
 }
 
-impl RepeatBudget {
+impl FleetRetryBudget {
     /// Starts with nothing counted, at a router that started at `started`.
-    pub fn new(allowance: RepeatAllowance, started: Timestamp) -> Self {
+    pub fn new(allowance: RetryAllowance, started: Timestamp) -> Self {
         Self { allowance, started, steps: [StepCounts::default(); WINDOW_STEPS] }
     }
 
@@ -50,7 +50,7 @@
         self.step(now).calls += 1;
     }
 
-    /// Takes one repeat out of the budget, shared with `routers` routers in all, or refuses.
+    /// Takes one retry out of the budget, shared with `routers` routers in all, or refuses.
     ///
     /// The ratio follows this router's own calls, so shares need no agreement; only the slack is
     /// divided. A router that knows of too few others would overdraw, which [`USED_SHARE`] covers.
@@ -58,19 +58,19 @@
     /// Within a window of its start a router has no share of the slack: it does not know yet how many there
     /// are, nor what its incarnation before took. Routers that were killed together while targets failed
     /// would otherwise each take all of it, again.
-    pub fn try_repeat(&mut self, now: Timestamp, routers: usize) -> bool {
+    pub fn try_retry(&mut self, now: Timestamp, routers: usize) -> bool {
         let first = self.step_number(now).saturating_sub(WINDOW_STEPS as u64 - 1);
         let inside = self.steps.iter().filter(|step| step.number >= first);
-        let (calls, repeats) =
-            inside.fold((0, 0), |sum, step| (sum.0 + step.calls, sum.1 + step.repeats));
+        let (calls, retries) =
+            inside.fold((0, 0), |sum, step| (sum.0 + step.calls, sum.1 + step.retries));
         let is_fresh = now.saturating_sub(self.started) < self.allowance.window;
         let share = USED_SHARE * self.allowance.slack / routers.max(1) as f64;
         let slack = if is_fresh { FRESH_SLACK.min(share) } else { share };
         let allowed = USED_SHARE * self.allowance.ratio * f64::from(calls) + slack;
-        if f64::from(repeats) + 1.0 > allowed {
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.step(now).repeats += 1;
+        self.step(now).retries += 1;
         true
     }
 
@@ -84,7 +84,7 @@
         let number = self.step_number(now);
         let step = &mut self.steps[(number % WINDOW_STEPS as u64) as usize];
         if step.number != number {
-            *step = StepCounts { number, calls: 0, repeats: 0 };
+            *step = StepCounts { number, calls: 0, retries: 0 };
         }
         step
     }
--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -36,7 +36,7 @@
 
 impl CallKind {
     /// Whether a call that may have run may be sent again.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -104,7 +104,7 @@
 /// A target's own 503 after it began to run a call would read as a promise that the call was not
 /// run, and the caller would send it again.
 pub fn failure_reply(kind: CallKind, status: u16) -> FailureReply {
-    if !kind.is_repeatable() && PROMISES.contains(&status) {
+    if !kind.is_retryable() && PROMISES.contains(&status) {
         FailureReply::Unknown
     } else {
         FailureReply::AsIs
@@ -142,6 +142,6 @@
     match proof {
         RunProof::Succeeded => false,
         RunProof::NotRun | RunProof::Misdirected => runs < max_targets.max(1),
-        RunProof::Failed | RunProof::Unknown => kind.is_repeatable() && runs < max_targets.max(1),
+        RunProof::Failed | RunProof::Unknown => kind.is_retryable() && runs < max_targets.max(1),
     }
 }
--- a/crates/core/tests/core/direct/proof.rs
+++ b/crates/core/tests/core/direct/proof.rs
@@ -173,7 +173,7 @@
     }
 }
 
-struct RepeatCase {
+struct RetryCase {
     proof: RunProof,
     kind: CallKind,
     runs: u32,
@@ -187,7 +187,7 @@
 fn only_proof_or_permission_sends_a_call_again() {
     use RunProof::{Failed, Misdirected, NotRun, Succeeded, Unknown};
     let case =
-        |proof, kind, runs, max_targets, may| RepeatCase { proof, kind, runs, max_targets, may };
+        |proof, kind, runs, max_targets, may| RetryCase { proof, kind, runs, max_targets, may };
     let cases = [
         case(Unknown, CallKind::NonIdempotent, 1, 3, false),
         case(Failed, CallKind::NonIdempotent, 1, 3, false),
@@ -206,7 +206,7 @@
     ];
     for case in cases {
         let may = may_send_again(case.proof, case.kind, case.runs, case.max_targets);
-        let RepeatCase { proof, kind, runs, max_targets, .. } = case;
+        let RetryCase { proof, kind, runs, max_targets, .. } = case;
         assert_eq!(may, case.may, "{proof:?} {kind:?}, {runs} of {max_targets} runs");
     }
 }
--- a/crates/daemon/src/options/site.rs
+++ b/crates/daemon/src/options/site.rs
@@ -3,7 +3,7 @@
 use super::arguments::SiteArguments;
 use eyre::{Result, WrapErr, ensure};
 use plantain_core::{
-    direct::{budget::RepeatAllowance, limits::terms::LimitTerms},
+    direct::{budget::RetryAllowance, limits::terms::LimitTerms},
     ids::{RegionName, ZoneName},
 };
 use serde::{Deserialize, Serialize};
@@ -76,8 +76,8 @@
 
 impl SiteBounds {
     /// What the fleet may repeat.
-    pub fn allowance(&self) -> RepeatAllowance {
-        RepeatAllowance {
+    pub fn allowance(&self) -> RetryAllowance {
+        RetryAllowance {
             ratio: self.repeat_ratio,
             slack: self.repeat_slack,
             window: Duration::from_secs_f64(self.repeat_window_s),
--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/callers.rs
@@ -285,7 +285,7 @@
                     exchange.finish(CallEnd::Served, reply.status());
                     return reply;
                 }
-                PlainRead::Broken(_) if exchange.may_repeat() => exchange.exclude_last(),
+                PlainRead::Broken(_) if exchange.may_retry() => exchange.exclude_last(),
                 PlainRead::Broken(given_up) => return refuse(&exchange, given_up),
             },
             Opened::Failure(reply) => {
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -10,7 +10,7 @@
 use metrics::counter;
 use plantain_core::{
     direct::{
-        budget::RepeatBudget,
+        budget::FleetRetryBudget,
         call::{AdapterId, ModelCall},
         directory::{PeerView, PresenceRegistry, RouterDirectory, RouterTable},
         limits::terms::FleetSize,
@@ -69,7 +69,7 @@
     /// Turns true when the process is told to stop.
     pub(crate) stopping: watch::Receiver<bool>,
     started: Timestamp,
-    budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
+    budgets: RefCell<HashMap<ServiceName, FleetRetryBudget>>,
     routers: RefCell<RouterTable>,
     /// Wakes the one who tells the control thread of the other routers.
     pub(crate) routers_heard: Notify,
@@ -147,21 +147,21 @@
     }
 
     /// Takes one repeat out of a service's budget.
-    pub(crate) fn try_repeat(&self, service: &ServiceName) -> bool {
+    pub(crate) fn try_retry(&self, service: &ServiceName) -> bool {
         let routers = self.router_count();
-        self.with_budget(service, |budget| budget.try_repeat(clock::now(), routers))
+        self.with_budget(service, |budget| budget.try_retry(clock::now(), routers))
     }
 
     fn with_budget<T>(
         &self,
         service: &ServiceName,
-        action: impl FnOnce(&mut RepeatBudget) -> T,
+        action: impl FnOnce(&mut FleetRetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.borrow_mut();
         let allowance = self.settings.borrow().bounds.allowance();
         let budget = budgets
             .entry(Arc::clone(service))
-            .or_insert_with(|| RepeatBudget::new(allowance, self.started));
+            .or_insert_with(|| FleetRetryBudget::new(allowance, self.started));
         action(budget)
     }
 
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -217,7 +217,7 @@
     }
 
     /// Whether the call may go to a further target although one may have run it.
-    pub(crate) fn may_repeat(&self) -> bool {
+    pub(crate) fn may_retry(&self) -> bool {
         let runs = self.record.runs;
         self.time_left() > constants::SERVE_TIME
             && may_send_again(RunProof::Unknown, self.route.kind, runs, self.route.max_targets)
@@ -247,7 +247,7 @@
                 self.give_back_turn(choice.turn);
                 return self.give_up(last, GivenUp::Held(CRASH_TTL));
             }
-            if self.record.sends > 0 && !self.context.try_repeat(&self.service) {
+            if self.record.sends > 0 && !self.context.try_retry(&self.service) {
                 self.note("repeat refused: budget spent");
                 self.give_back_turn(choice.turn);
                 return self.give_up(last, GivenUp::NotRun(constants::BUSY_PAUSE));
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -151,7 +151,7 @@
     /// How long one target is waited for: to the deadline, unless another one may still run it.
     fn answer_limit(&self) -> Duration {
         let left = self.time_left();
-        let may_move = self.route.kind.is_repeatable()
+        let may_move = self.route.kind.is_retryable()
             && self.record.runs < self.route.max_targets
             && self.context.pool.borrow().service_targets(&self.service).count() > 1;
         if may_move { left.min(self.route.objective.mul_f64(GIVE_UP_SHARE)) } else { left }
