--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -84,8 +84,8 @@
     meters: MeterTable,
     accounts: HashMap<LimitTag, LimitAccount>,
     decided: Vec<(CallTicket, SpendDecision)>,
-    /// Whether the meters are to be told at once which of them can be reached now, and of targets' limits.
-    is_untold: bool,
+    /// Whether a report is due at once, with the meters that can be reached now and targets' limits.
+    is_report_due: bool,
 }
 
 impl AccountBook {
@@ -100,7 +100,7 @@
             meters: MeterTable::default(),
             accounts: HashMap::new(),
             decided: Vec::new(),
-            is_untold: false,
+            is_report_due: false,
         }
     }
 
@@ -134,7 +134,7 @@
         if !self.meters.look(self.fleet.known, now) {
             return;
         }
-        self.is_untold = true;
+        self.is_report_due = true;
         let reachable = self.meters.reachable();
         for (tag, account) in &mut self.accounts {
             let shares = account.shares(self.fleet);
@@ -291,7 +291,7 @@
         now: Timestamp,
     ) -> Vec<(InstanceId, UsageReport)> {
         self.look(now);
-        let is_changed = std::mem::take(&mut self.is_untold);
+        let is_changed = std::mem::take(&mut self.is_report_due);
         let pause = report_pause(self.fleet.known);
         let mut reports = Vec::new();
         let links: Vec<(MeterTag, InstanceId, u64, bool)> = self
@@ -370,7 +370,7 @@
 
     /// Has reports with what this router knows of targets' limits sent to the meters at once.
     pub fn report_limits_now(&mut self) {
-        self.is_untold = true;
+        self.is_report_due = true;
     }
 
     /// Time for which a limit that is used up is best left alone, where units will be there after `retry_after`.
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -12,15 +12,15 @@
 use crate::ids::{BootId, Timestamp};
 use std::{collections::HashMap, time::Duration};
 
-/// Pause after which a question that was not answered is sent again: datagrams are lost at times.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after which a report request that was not answered is sent again: datagrams are lost at times.
+const REPORT_REQUEST_PAUSE: Duration = Duration::from_millis(50);
 /// Shortest pause between notices to one loader that a new load request does not hurry: what began or ended
 /// within it is told together.
 const NOTICE_GAP: Duration = Duration::from_millis(100);
 /// Pause between notices to a loader at whose engine calls run and nothing changes; it forgets a router
 /// after 2.5 s, and the adapters of its calls would then be evicted under them.
 const NOTICE_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between questions to a loader where calls wait: it tells unasked that an adapter has come, but
+/// Pause between report requests to a loader where calls wait: it tells unasked that an adapter has come, but
 /// not how much longer one will take.
 const WAIT_PAUSE: Duration = Duration::from_millis(300);
 
@@ -83,14 +83,15 @@
         let is_offer = is_empty || last.is_none();
         let bases = if is_offer { TargetPool::base_offers(spec) } else { Vec::new() };
         let asked_lately = last.is_some_and(|sent| now.saturating_sub(sent.asked) < WAIT_PAUSE);
-        let wants_report =
-            target.has_question(now) || is_empty || (target.has_load_request() && !asked_lately);
+        let wants_report = target.is_report_pending(now)
+            || is_empty
+            || (target.has_load_request() && !asked_lately);
         let asked = if wants_report { now } else { last.map_or(Duration::ZERO, |sent| sent.asked) };
         let was_engaged = target.is_engaged();
         let target = pool.target_mut(incarnation)?;
         if is_empty {
             // Calls wait for its base model, but not if nobody is there to load it.
-            target.ask(now);
+            target.request_report(now);
         }
         self.sent.insert(incarnation.clone(), SentNotice { at: now, asked, was_engaged });
         self.sequence += 1;
@@ -111,9 +112,9 @@
 /// Pause between notices to a target's loader; `None` if it need not be told.
 fn pause(target: &TargetState, sent: Option<&SentNotice>, now: Timestamp) -> Option<Duration> {
     let was_engaged = sent.is_some_and(|sent| sent.was_engaged);
-    if target.has_question(now) {
-        Some(QUESTION_PAUSE)
-    } else if target.awaited_adapters() > 0 || target.has_untold_calls() {
+    if target.is_report_pending(now) {
+        Some(REPORT_REQUEST_PAUSE)
+    } else if target.awaited_adapters() > 0 || target.has_unreported_calls() {
         Some(NOTICE_GAP)
     } else if target.is_engaged() {
         Some(NOTICE_PAUSE)
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -125,7 +125,7 @@
     };
     let incarnation = target.entry.incarnation.clone();
     let Some(adapter) = adapter else { return TargetChoice::Send(incarnation, None) };
-    if need.may_ask && !target.is_sure(&adapter, now) {
+    if need.may_ask && !target.is_report_sufficient(&adapter, now) {
         return TargetChoice::Ask(incarnation);
     }
     let newest = pool.newest_version(&adapter);
@@ -199,7 +199,9 @@
 fn awaits_base(pool: &TargetPool, need: &CallNeed<'_>, now: Timestamp) -> bool {
     need.model.is_some()
         && pool.service_targets(need.service).any(|target| {
-            is_alive(target, need, now) && !target.is_silent(now) && !target.is_saturated(now)
+            is_alive(target, need, now)
+                && !target.is_loader_silent(now)
+                && !target.is_saturated(now)
         })
 }
 
@@ -272,7 +274,7 @@
             Some(_) => SPARE_LOADS * pool.wait_estimates().load_ms(),
             None => STRAY_LOADS * pool.wait_estimates().load_ms(),
         };
-    if target.is_silent(now) {
+    if target.is_loader_silent(now) {
         return stray + NO_LOADER_MS;
     }
     let stray = stray + if target.was_recently_saturated(now) { CROWDED_LOAD_MS } else { 0.0 };
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -18,7 +18,7 @@
 pub const REPORT_TTL: Duration = Duration::from_millis(2_500);
 /// Age up to which a report is believed in what an engine holds without asking again. An adapter that was
 /// evicted meanwhile costs the call a refusal, and the fleet one of its repeats.
-const SURE_TTL: Duration = Duration::from_millis(300);
+const SUFFICIENT_TTL: Duration = Duration::from_millis(300);
 /// Time without an answer after which a loader counts as silent. It answers within a millisecond, but a
 /// host may be held up for the rest of a tenth of a second when it has used up its share of a core.
 const SILENCE: Duration = Duration::from_millis(150);
@@ -89,9 +89,9 @@
     pub(super) saturated_until: Timestamp,
     /// What its loader reported.
     pub loader: Option<LoaderView>,
-    /// When its loader was first asked for the report that has not come yet.
-    pub(super) question: Option<Timestamp>,
-    /// The question whose silence was noted.
+    /// When the pending report of its loader was first requested.
+    pub(super) report_requested: Option<Timestamp>,
+    /// The report request whose silence was noted.
     pub(super) noted_silence: Option<Timestamp>,
     /// Whether another incarnation was met at its address, so that this one has ended.
     pub(super) is_displaced: bool,
@@ -114,7 +114,7 @@
             advertised: AdvertisedState::default(),
             saturated_until: Duration::ZERO,
             loader: None,
-            question: None,
+            report_requested: None,
             noted_silence: None,
             is_displaced: false,
             is_superseded: false,
@@ -131,15 +131,15 @@
 
     /// Takes its loader's report.
     pub(super) fn take_report(&mut self, report: LoaderReport, now: Timestamp) {
-        self.question = None;
+        self.report_requested = None;
         self.loader = Some(LoaderView { report, received: now });
     }
 
-    /// Wants a report of its loader; returns whether that is a new question.
-    pub(super) fn ask(&mut self, now: Timestamp) -> bool {
-        let is_new = self.question.is_none_or(|at| now.saturating_sub(at) >= SILENCE_TTL);
+    /// Requests a report of its loader; returns whether no request was pending.
+    pub(super) fn request_report(&mut self, now: Timestamp) -> bool {
+        let is_new = self.report_requested.is_none_or(|at| now.saturating_sub(at) >= SILENCE_TTL);
         if is_new {
-            self.question = Some(now);
+            self.report_requested = Some(now);
         }
         is_new
     }
@@ -154,33 +154,33 @@
         told.max(f64::from(self.prefill_tokens))
     }
 
-    /// Whether its loader was asked, and an answer may still come.
-    pub fn has_question(&self, now: Timestamp) -> bool {
-        self.question.is_some_and(|at| now.saturating_sub(at) < SILENCE)
+    /// Whether a report was requested of its loader and may still come.
+    pub fn is_report_pending(&self, now: Timestamp) -> bool {
+        self.report_requested.is_some_and(|at| now.saturating_sub(at) < SILENCE)
     }
 
     /// Whether its loader does not answer.
-    pub fn is_silent(&self, now: Timestamp) -> bool {
-        let waited = self.question.map(|at| now.saturating_sub(at));
+    pub fn is_loader_silent(&self, now: Timestamp) -> bool {
+        let waited = self.report_requested.map(|at| now.saturating_sub(at));
         waited.is_some_and(|waited| (SILENCE..SILENCE_TTL).contains(&waited))
     }
 
     /// Whether its loader is silent, and that was not noted before.
     pub(super) fn note_silence(&mut self, now: Timestamp) -> bool {
-        let is_new = self.is_silent(now) && self.noted_silence != self.question;
+        let is_new = self.is_loader_silent(now) && self.noted_silence != self.report_requested;
         if is_new {
-            self.noted_silence = self.question;
+            self.noted_silence = self.report_requested;
         }
         is_new
     }
 
-    /// Whether no question would tell more of an adapter here than is known.
-    pub fn is_sure(&self, adapter: &AdapterId, now: Timestamp) -> bool {
-        let Some(view) = &self.loader else { return self.is_silent(now) };
+    /// Whether a report would say no more of an adapter here than is known.
+    pub fn is_report_sufficient(&self, adapter: &AdapterId, now: Timestamp) -> bool {
+        let Some(view) = &self.loader else { return self.is_loader_silent(now) };
         let age = now.saturating_sub(view.received);
         // The loader keeps an adapter for as long as it knows of a call that uses it.
         let is_kept = self.uses.get(adapter).is_some_and(|counts| counts.running > 0);
-        age < SURE_TTL || (is_kept && age < REPORT_TTL) || self.is_silent(now)
+        age < SUFFICIENT_TTL || (is_kept && age < REPORT_TTL) || self.is_loader_silent(now)
     }
 
     /// Whether it is an engine that holds no base model.
@@ -266,9 +266,9 @@
         self.load_requests.values().filter(|request| request.is_awaited()).count()
     }
 
-    /// Whether the loader has not been told yet of calls that began here, or of an adapter that is no
+    /// Whether calls that began here were not reported to the loader yet, or of an adapter that is no
     /// longer in use.
-    pub fn has_untold_calls(&self) -> bool {
+    pub fn has_unreported_calls(&self) -> bool {
         self.uses.values().any(|counts| counts.started > 0 || counts.running == 0)
     }
 
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -168,8 +168,8 @@
     }
 
     /// Wants a report of a target's loader; returns whether that is a new question.
-    pub fn ask(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
-        self.target_mut(incarnation).is_some_and(|target| target.ask(now))
+    pub fn request_report(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
+        self.target_mut(incarnation).is_some_and(|target| target.request_report(now))
     }
 
     /// What engines of a target's service have, if it is an engine.
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -275,7 +275,7 @@
                 self.push(self.now + RUN_MS, Event::Ended(index, incarnation, id));
             }
             TargetChoice::Ask(incarnation) => {
-                if router.pool.ask(&incarnation, now) {
+                if router.pool.request_report(&incarnation, now) {
                     self.notify(index, &incarnation);
                 }
                 self.push(self.now + 4, Event::Retry(index, name, came, was_held));
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -60,12 +60,12 @@
 
 /// A question is lost. Its call waits, so it is sent again soon; but not for ever to a loader that is gone.
 #[test]
-fn a_question_is_repeated_until_the_loader_counts_as_silent() {
+fn a_report_request_is_repeated_until_the_loader_counts_as_silent() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
     let e2: TargetIncarnation = "e2".into();
-    assert!(pool.ask(&e2, ms(0)), "new");
-    assert!(!pool.ask(&e2, ms(10)), "asked already");
+    assert!(pool.request_report(&e2, ms(0)), "new");
+    assert!(!pool.request_report(&e2, ms(10)), "asked already");
     let sent: Vec<u64> = (0..1_000)
         .step_by(10)
         .filter(|at| {
@@ -80,9 +80,9 @@
     assert_eq!(sent, [0, 50, 100]);
     assert!(pool.note_silence(&e2, ms(160)), "to be logged");
     assert!(!pool.note_silence(&e2, ms(170)), "once");
-    assert!(pool.ask(&e2, ms(2_000)), "asked again after two seconds");
+    assert!(pool.request_report(&e2, ms(2_000)), "asked again after two seconds");
     take_report(&mut pool, "e2", 1, 2_001);
-    assert!(!pool.target(&e2).expect("a target").has_question(ms(2_002)));
+    assert!(!pool.target(&e2).expect("a target").is_report_pending(ms(2_002)));
 }
 
 /// An engine has started empty and nobody has calls there yet. Its loader must hear what to load, from one
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -130,7 +130,7 @@
         take_report(&mut pool, report(id, 1, &[]), ms(0));
     }
     let first = loads_at(&pool, 10);
-    pool.ask(&first, ms(3_000));
+    pool.request_report(&first, ms(3_000));
     assert_eq!(loads_at(&pool, 3_010), first, "an answer may be on its way");
     assert_ne!(loads_at(&pool, 3_160), first);
     take_report(&mut pool, report(&first.id, 2, &[]), ms(3_200));
@@ -260,7 +260,7 @@
     pool.replace_list(vec![bare("e1", 1), bare("e2", 2)], ms(0));
     let call = model_call(Some("h7"));
     for id in ["e1", "e2"] {
-        pool.ask(&id.into(), ms(0));
+        pool.request_report(&id.into(), ms(0));
     }
     assert_eq!(choose(&pool, ENGINES, Some(&call), 10), TargetChoice::AwaitBase, "may answer yet");
     assert_eq!(choose(&pool, ENGINES, Some(&call), 160), TargetChoice::Nowhere, "none answered");
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -92,7 +92,7 @@
         send,
         "asked enough"
     );
-    pool.ask(&"e2".into(), ms(400));
+    pool.request_report(&"e2".into(), ms(400));
     assert_eq!(choose(&pool, &ask, 540), TargetChoice::Ask("e2".into()), "an answer may come");
     assert_eq!(choose(&pool, &ask, 560), send, "silent: no question would tell more");
     take_report(&mut pool, report("e2", 2, &[("h7", 1)]), ms(700));
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -214,8 +214,12 @@
 
     /// Asks a target's loader for a report and waits for it, or for `limit`; returns whether it was not
     /// being asked already.
-    pub(crate) async fn ask(&self, incarnation: &TargetIncarnation, limit: Duration) -> bool {
-        let is_new = self.pool.borrow_mut().ask(incarnation, clock::now());
+    pub(crate) async fn request_report(
+        &self,
+        incarnation: &TargetIncarnation,
+        limit: Duration,
+    ) -> bool {
+        let is_new = self.pool.borrow_mut().request_report(incarnation, clock::now());
         if is_new {
             counter!("plantain_questions_total").increment(1);
             self.hurry(incarnation);
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -394,7 +394,8 @@
                     return Err(constants::RETURN_PAUSE);
                 }
                 TargetChoice::Ask(incarnation) => {
-                    let is_new = self.context.ask(&incarnation, constants::QUESTION_LOOK).await;
+                    let is_new =
+                        self.context.request_report(&incarnation, constants::QUESTION_LOOK).await;
                     self.record.questions += u32::from(is_new);
                 }
                 TargetChoice::AwaitBase if !can_wait(began) => {
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -107,7 +107,8 @@
         let now = clock::now();
         let incarnation = report.incarnation.clone();
         let mut pool = self.context.pool.borrow_mut();
-        let was_silent = pool.target(&incarnation).is_some_and(|target| target.is_silent(now));
+        let was_silent =
+            pool.target(&incarnation).is_some_and(|target| target.is_loader_silent(now));
         let is_news = pool.take_report(host, report, now);
         drop(pool);
         if is_news {
