--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -2,7 +2,7 @@
 
 pub mod record;
 
-use super::customers::CustomerBook;
+use super::customers::CustomerTable;
 use crate::ids::{BaseName, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc, time::Duration};
@@ -165,7 +165,7 @@
     /// Services by name.
     pub services: HashMap<ServiceName, Arc<ServiceSpec>>,
     /// Customers; none where all callers are alike.
-    pub customers: CustomerBook,
+    pub customers: CustomerTable,
     routes: HashMap<Arc<str>, HashMap<Arc<str>, Arc<RouteRule>>>,
 }
 
@@ -182,13 +182,13 @@
             let prefixes = index.entry(Arc::clone(&route.host)).or_default();
             prefixes.insert(Arc::clone(&route.prefix), Arc::new(route));
         }
-        let customers = CustomerBook::default();
+        let customers = CustomerTable::default();
         Self { number, limits, services, customers, routes: index }
     }
 
     /// Sets the customers.
     #[must_use]
-    pub fn with_customers(mut self, customers: CustomerBook) -> Self {
+    pub fn with_customers(mut self, customers: CustomerTable) -> Self {
         self.customers = customers;
         self
     }
--- a/crates/core/src/direct/config/record.rs
+++ b/crates/core/src/direct/config/record.rs
@@ -2,7 +2,7 @@
 
 use super::{CallerLimits, ConfigNumber, RouteConfig, RouteRule, ServiceSpec};
 use crate::{
-    direct::customers::{CustomerBook, CustomerFault, CustomerRule},
+    direct::customers::{CustomerFault, CustomerRule, CustomerTable},
     ids::ServiceName,
 };
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
     /// Indexes the configuration; the error says why its customers cannot be told apart.
     pub fn into_config(self) -> Result<RouteConfig, CustomerFault> {
         let routes = self.routes.into_iter().map(Arc::unwrap_or_clone).collect();
-        let customers = CustomerBook::new(self.customers)?;
+        let customers = CustomerTable::new(self.customers)?;
         let config = RouteConfig::new(self.number, routes, self.services, self.limits);
         Ok(config.with_customers(customers))
     }
--- a/crates/core/src/direct/customers.rs
+++ b/crates/core/src/direct/customers.rs
@@ -80,12 +80,12 @@
 
 /// All customers, found by the digests of their keys.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CustomerBook {
+pub struct CustomerTable {
     rules: Vec<Arc<CustomerRule>>,
     by_key: HashMap<KeyDigest, Arc<CustomerRule>>,
 }
 
-impl CustomerBook {
+impl CustomerTable {
     /// Indexes customers by their keys.
     pub fn new(rules: Vec<Arc<CustomerRule>>) -> Result<Self, CustomerFault> {
         let mut by_key: HashMap<KeyDigest, Arc<CustomerRule>> = HashMap::new();
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -18,7 +18,7 @@
     direct::{config::ConfigNumber, membership::InstanceId, target_limit::LimitUpdate},
     ids::{BootId, Timestamp},
 };
-use state::{LimitAccount, MeterWord};
+use state::{LimitAccount, MeterStatus};
 use std::{collections::HashMap, time::Duration};
 
 pub use waiting::CallTicket;
@@ -69,13 +69,13 @@
     pub used: u64,
     /// Units left over all routers, as last told.
     pub left: f64,
-    /// Age of that word; `None` if no meter has told anything yet.
+    /// Age of that figure; `None` if no meter has reported any yet.
     pub age: Option<Duration>,
 }
 
 /// The accounts of all limits at one router.
 #[derive(Debug)]
-pub struct AccountBook {
+pub struct AccountTable {
     boot: BootId,
     started: Timestamp,
     sequence: u32,
@@ -88,7 +88,7 @@
     is_report_due: bool,
 }
 
-impl AccountBook {
+impl AccountTable {
     /// Starts with nothing used; `boot` tells this start from others.
     pub fn new(boot: BootId, now: Timestamp) -> Self {
         Self {
@@ -176,8 +176,8 @@
         SpendResult::Waiting(account.waiting.push(tag, cost, now))
     }
 
-    /// A call that was counted at `spent` was not run.
-    pub fn give_back(&mut self, tag: LimitTag, cost: UsageCost, spent: Timestamp, now: Timestamp) {
+    /// Refunds a call that was counted at `spent` and not run.
+    pub fn refund(&mut self, tag: LimitTag, cost: UsageCost, spent: Timestamp, now: Timestamp) {
         let Some(account) = self.accounts.get_mut(&tag) else { return };
         if now.saturating_sub(spent) < RETURN_LIMIT {
             account.balance += f64::from(cost);
@@ -185,8 +185,8 @@
         }
     }
 
-    /// The caller of a call that waits has gone.
-    pub fn withdraw(&mut self, ticket: CallTicket) {
+    /// Cancels a call that waits, as its caller has gone.
+    pub fn cancel(&mut self, ticket: CallTicket) {
         if let Some(account) = self.accounts.get_mut(&ticket.tag) {
             account.waiting.remove(ticket);
         }
@@ -221,7 +221,7 @@
         };
         account.balance += granted.granted.saturating_sub(known) as f64;
         account.granted = Some(known.max(granted.granted));
-        account.word = Some(MeterWord {
+        account.status = Some(MeterStatus {
             left: f64::from(granted.left),
             rate: f64::from(granted.rate),
             is_settled: granted.is_settled,
@@ -397,12 +397,12 @@
     /// What is known of a limit's use.
     pub fn view(&self, tag: LimitTag, now: Timestamp) -> Option<AccountView> {
         let account = self.accounts.get(&tag)?;
-        let word = account.word;
+        let status = account.status;
         Some(AccountView {
             rate: account.rule.limit.rate,
             used: u64::try_from(account.window.sum(now)).unwrap_or(0),
-            left: word.map_or(account.balance, |word| word.left),
-            age: word.map(|word| now.saturating_sub(word.at)),
+            left: status.map_or(account.balance, |status| status.left),
+            age: status.map(|status| now.saturating_sub(status.at)),
         })
     }
 }
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time for which a meter's word is believed. Calls beyond a limit, and slices that are not granted, then cost no
-/// trip each.
-const WORD_TTL: Duration = Duration::from_millis(50);
+/// Time for which a meter's status is believed. Calls beyond a limit, and slices that are not granted, then cost
+/// no trip each.
+const STATUS_TTL: Duration = Duration::from_millis(50);
 /// Slices that a meter must have left to give one out whole.
 const SCARCE_SLICES: f64 = 10.0;
 /// Time from the first call under a limit to the first grant.
@@ -29,9 +29,9 @@
 /// Time for which a drawn unit may be used.
 const TURN_TTL: Duration = Duration::from_secs(1);
 
-/// What a meter last said of a limit.
+/// What a meter last reported of a limit.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct MeterWord {
+pub(super) struct MeterStatus {
     pub(super) left: f64,
     pub(super) rate: f64,
     pub(super) is_settled: bool,
@@ -58,7 +58,7 @@
     pub(super) granted: Option<u64>,
     pub(super) wanted: u64,
     pub(super) asked: Option<(u32, Timestamp)>,
-    pub(super) word: Option<MeterWord>,
+    pub(super) status: Option<MeterStatus>,
     pub(super) waiting: WaitingCalls,
     pub(super) used: Timestamp,
     pub(super) spent: Option<Timestamp>,
@@ -83,7 +83,7 @@
             granted: None,
             wanted: 0,
             asked: None,
-            word: None,
+            status: None,
             waiting: WaitingCalls::default(),
             used: now,
             spent: None,
@@ -117,20 +117,20 @@
         self.window.add(i64::from(cost), now);
     }
 
-    /// What its meter has just said, if no call waits for more.
-    pub(super) fn fresh_word(&self, now: Timestamp) -> Option<&MeterWord> {
-        let word = self.word.as_ref().filter(|_| self.waiting.is_empty());
-        word.filter(|word| now.saturating_sub(word.at) < WORD_TTL)
+    /// What its meter has just reported, if no call waits for more.
+    pub(super) fn fresh_status(&self, now: Timestamp) -> Option<&MeterStatus> {
+        let status = self.status.as_ref().filter(|_| self.waiting.is_empty());
+        status.filter(|status| now.saturating_sub(status.at) < STATUS_TTL)
     }
 
-    /// Whether its meter has just said that nothing is left.
+    /// Whether its meter has just reported that nothing is left.
     pub(super) fn is_short(&self, now: Timestamp) -> bool {
-        self.fresh_word(now).is_some_and(|word| word.is_settled && word.left <= 0.0)
+        self.fresh_status(now).is_some_and(|status| status.is_settled && status.left <= 0.0)
     }
 
-    /// Whether its meter has just said that too little is left to give out whole slices.
+    /// Whether its meter has just reported that too little is left to give out whole slices.
     pub(super) fn is_scarce(&self, shares: &LimitShares, now: Timestamp) -> bool {
-        self.fresh_word(now).is_some_and(|word| word.left < SCARCE_SLICES * shares.slice)
+        self.fresh_status(now).is_some_and(|status| status.left < SCARCE_SLICES * shares.slice)
     }
 
     pub(super) fn refusal(
@@ -139,10 +139,10 @@
         shares: &LimitShares,
         now: Timestamp,
     ) -> SpendDecision {
-        let (left, rate) = match self.word {
-            Some(word) => {
-                let passed = now.saturating_sub(word.at).as_secs_f64();
-                (word.left + word.rate * passed, word.rate)
+        let (left, rate) = match self.status {
+            Some(status) => {
+                let passed = now.saturating_sub(status.at).as_secs_f64();
+                (status.left + status.rate * passed, status.rate)
             }
             None => (self.balance, shares.even_rate),
         };
@@ -197,7 +197,7 @@
         }
         self.meter = meter;
         self.forget_grants(0);
-        self.word = None;
+        self.status = None;
     }
 
     /// Starts anew with a meter. What it has granted before is heard first: the router may have used it and
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -90,7 +90,7 @@
     pub fn take(
         &mut self,
         report: &UsageReport,
-        book: &LimitTable,
+        table: &LimitTable,
         now: Timestamp,
     ) -> Option<UsageGrant> {
         if !self.note_router(report, now) {
@@ -102,7 +102,7 @@
         let is_enrolled = report.enrolment == enrolment;
         let requests = report.requests.iter();
         let grants = requests.filter_map(|request| {
-            let is_newest = book.is_newest(request.tag, request.rate);
+            let is_newest = table.is_newest(request.tag, request.rate);
             self.grant(report, request, is_enrolled, is_newest, now)
         });
         Some(UsageGrant {
@@ -110,7 +110,7 @@
             sequence: report.sequence,
             enrolment,
             grants: grants.collect(),
-            limit_updates: book.answer(&report.limit_updates, now),
+            limit_updates: table.answer(&report.limit_updates, now),
         })
     }
 
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -266,8 +266,8 @@
         self.load_requests.values().filter(|request| request.is_awaited()).count()
     }
 
-    /// Whether calls that began here were not reported to the loader yet, or of an adapter that is no
-    /// longer in use.
+    /// Whether the loader has no notice yet of calls that began here, or of an adapter that is no longer in
+    /// use.
     pub fn has_unreported_calls(&self) -> bool {
         self.uses.values().any(|counts| counts.started > 0 || counts.running == 0)
     }
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -27,7 +27,7 @@
 /// Limits in one message, the newest ones: some 1.5 kB.
 const UPDATE_LIMIT: usize = 64;
 /// Limits that a loader remembers.
-const BOOK_LIMIT: usize = 4_096;
+const TABLE_LIMIT: usize = 4_096;
 
 /// How the routers keep a limit that a target advertises.
 pub fn target_rule(rate: RequestRate) -> LimitRule {
@@ -161,10 +161,10 @@
                 told.told = now;
                 continue;
             }
-            if self.told.len() >= BOOK_LIMIT {
+            if self.told.len() >= TABLE_LIMIT {
                 self.told.retain(|_, told| now.saturating_sub(told.told) < UPDATE_TTL);
             }
-            if self.told.len() < BOOK_LIMIT {
+            if self.told.len() < TABLE_LIMIT {
                 let mut known = update.known(now);
                 known.ended = known.rate.is_none().then_some(known.as_of);
                 self.told.insert(update.tag, ReceivedLimit { known, told: now });
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -167,7 +167,7 @@
         &self.wait_estimates
     }
 
-    /// Wants a report of a target's loader; returns whether that is a new question.
+    /// Requests a report of a target's loader; returns whether no request was pending.
     pub fn request_report(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
         self.target_mut(incarnation).is_some_and(|target| target.request_report(now))
     }
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -7,7 +7,7 @@
         customers::CustomerRule,
         directory::RouterTable,
         limits::{
-            account::{AccountBook, CallTicket, SpendDecision, SpendResult},
+            account::{AccountTable, CallTicket, SpendDecision, SpendResult},
             messages::{UsageGrant, UsageReport},
             meter::UsageMeter,
             terms::{FleetSize, LimitRule, LimitTerms, UsageLimit, UsageUnit},
@@ -120,7 +120,7 @@
     /// Whether routers know each other by their reports in the store alone.
     pub are_strangers: bool,
     started: Vec<Timestamp>,
-    routers: Vec<AccountBook>,
+    routers: Vec<AccountTable>,
     meters: Vec<UsageMeter>,
     books: Vec<LimitTable>,
     targets: Vec<InstanceId>,
@@ -155,7 +155,9 @@
             is_used_before: rule.is_used_before,
             are_strangers: false,
             started: vec![Duration::ZERO; routers],
-            routers: (0..routers).map(|_| AccountBook::new(rng.random(), Duration::ZERO)).collect(),
+            routers: (0..routers)
+                .map(|_| AccountTable::new(rng.random(), Duration::ZERO))
+                .collect(),
             meters: (0..meters).map(|_| UsageMeter::new(rng.random())).collect(),
             books: (0..meters).map(|_| LimitTable::default()).collect(),
             targets: (0..meters).map(|meter| format!("e{meter}").into()).collect(),
@@ -201,7 +203,7 @@
 
     /// The router starts again, knowing nothing.
     pub fn restart_router(&mut self, router: usize) {
-        self.routers[router] = AccountBook::new(self.rng.random(), self.now());
+        self.routers[router] = AccountTable::new(self.rng.random(), self.now());
         self.started[router] = self.now();
         let at = self.now();
         let gone: Vec<_> = self.waiting.keys().filter(|(own, _)| *own == router).copied().collect();
--- a/crates/core/tests/core/direct/customers/keys.rs
+++ b/crates/core/tests/core/direct/customers/keys.rs
@@ -1,7 +1,7 @@
 //! Keys: whose a call is, and that a key is never written.
 
 use plantain_core::direct::customers::{
-    CallerIdentity, CustomerBook, CustomerFault, CustomerRule,
+    CallerIdentity, CustomerFault, CustomerRule, CustomerTable,
     keys::{KEY_LIMIT, KeyDigest, KeyFault, PresentedKey},
 };
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 
 #[test]
 fn a_call_is_its_keys_holders() {
-    let book = CustomerBook::new(vec![rule("temple", &["k1", "k2"]), rule("guide", &["k3"])]);
-    let book = book.expect("customers that can be told apart");
+    let table = CustomerTable::new(vec![rule("temple", &["k1", "k2"]), rule("guide", &["k3"])]);
+    let table = table.expect("customers that can be told apart");
     let long = [b'k'; KEY_LIMIT + 1];
     let long: &'static [u8] = Box::leak(Box::new(long));
     let too_long: &'static [&'static [u8]] = Box::leak(Box::new([long]));
@@ -52,7 +52,7 @@
     ];
     for case in cases {
         let key = PresentedKey::new(case.values.iter().copied());
-        let identity = book.identify(&key, case.is_open);
+        let identity = table.identify(&key, case.is_open);
         let holder = identity.as_ref().map(|identity| match identity {
             CallerIdentity::Customer(rule) => &*rule.name,
             CallerIdentity::Anyone => "",
@@ -60,7 +60,7 @@
         assert_eq!(holder, case.holder, "{}", case.name);
     }
     let key = PresentedKey::new([&b"k1"[..]].into_iter());
-    let nobody = CustomerBook::default().identify(&key, false);
+    let nobody = CustomerTable::default().identify(&key, false);
     assert_eq!(nobody, Some(CallerIdentity::Anyone), "without customers all callers are alike");
 }
 
@@ -87,7 +87,7 @@
         },
     ];
     for case in cases {
-        assert_eq!(CustomerBook::new(case.rules).err(), case.fault, "{}", case.name);
+        assert_eq!(CustomerTable::new(case.rules).err(), case.fault, "{}", case.name);
     }
 }
 
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -193,19 +193,19 @@
 /// Guards against limits that come back to life, or end, by words that were lost, doubled, late or sent in a circle.
 #[test]
 fn the_newest_word_of_a_limit_wins_wherever_it_comes_from() {
-    let mut book = LimitTable::default();
-    book.take(&[update(Some(3.9), 100)], ms(10_000));
-    assert_eq!(book.answer(&[], ms(10_500)), [update(Some(3.9), 600)]);
-    assert_eq!(book.answer(&[update(Some(3.9), 900)], ms(10_500)), [], "it is known there");
-    book.take(&[update(None, 500)], ms(12_000));
-    book.take(&[update(Some(3.9), 2_100)], ms(12_001));
-    assert_eq!(book.answer(&[update(Some(3.9), 2_200)], ms(12_100)), [update(None, 600)]);
-    book.take(&[update(Some(0.2), 0)], ms(13_000));
-    book.take(&[update(None, 1_500)], ms(13_001));
-    assert_eq!(book.answer(&[], ms(13_000)), [update(Some(0.2), 0)]);
-    assert_eq!(book.is_newest(7, 0.2), Some(true));
-    assert_eq!(book.is_newest(7, 3.9), Some(false));
-    assert_eq!(book.is_newest(8, 3.9), None);
+    let mut table = LimitTable::default();
+    table.take(&[update(Some(3.9), 100)], ms(10_000));
+    assert_eq!(table.answer(&[], ms(10_500)), [update(Some(3.9), 600)]);
+    assert_eq!(table.answer(&[update(Some(3.9), 900)], ms(10_500)), [], "it is known there");
+    table.take(&[update(None, 500)], ms(12_000));
+    table.take(&[update(Some(3.9), 2_100)], ms(12_001));
+    assert_eq!(table.answer(&[update(Some(3.9), 2_200)], ms(12_100)), [update(None, 600)]);
+    table.take(&[update(Some(0.2), 0)], ms(13_000));
+    table.take(&[update(None, 1_500)], ms(13_001));
+    assert_eq!(table.answer(&[], ms(13_000)), [update(Some(0.2), 0)]);
+    assert_eq!(table.is_newest(7, 0.2), Some(true));
+    assert_eq!(table.is_newest(7, 3.9), Some(false));
+    assert_eq!(table.is_newest(8, 3.9), None);
     // What is known already does not grow younger on its way.
     let mut known = KnownLimit::default();
     assert!(known.apply_update(&update(Some(0.2), 1_000), ms(14_000)));
@@ -220,7 +220,7 @@
 /// Guards against a lower rate at the meter that the routers of an older, higher one raise again.
 #[test]
 fn a_meter_goes_by_the_newest_rate() {
-    let (mut meter, mut book) = (UsageMeter::new(1), LimitTable::default());
+    let (mut meter, mut table) = (UsageMeter::new(1), LimitTable::default());
     let mut report = UsageReport {
         boot: 5,
         sequence: 1,
@@ -232,7 +232,7 @@
         requests: Vec::new(),
         limit_updates: Vec::new(),
     };
-    let enrolment = meter.take(&report, &book, ms(1_000)).expect("an answer").enrolment;
+    let enrolment = meter.take(&report, &table, ms(1_000)).expect("an answer").enrolment;
     report.enrolment = enrolment;
     let mut granted = |rate: f64, wanted, at| {
         report.sequence += 1;
@@ -252,8 +252,8 @@
             rate: Some(rate),
             age_ms: if rate < 1.0 { 0 } else { 9_000 },
         }];
-        book.take(&report.limit_updates, at);
-        let grant = meter.take(&report, &book, at).expect("an answer");
+        table.take(&report.limit_updates, at);
+        let grant = meter.take(&report, &table, at).expect("an answer");
         grant.grants[0].granted
     };
     assert_eq!(granted(40.0, 100, ms(1_100)), 0, "the bucket is new");
--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/callers.rs
@@ -338,7 +338,7 @@
     let mut reply = final_reply(status, message, outcome);
     if let GivenUp::NotRun(pause) | GivenUp::Held(pause) = given_up {
         calls::set_retry_after(&mut reply, pause);
-        exchange.give_back();
+        exchange.refund();
     }
     calls::set_call_id(&mut reply, exchange.head.id.as_deref().unwrap_or_default());
     exchange.finish(end, status);
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -81,7 +81,7 @@
 
     /// Keeps a connection whose answer was read whole, once it is free; `keep` is how long the target
     /// said that it keeps it.
-    pub(crate) fn give_back(&self, connection: TargetConnection, keep: Option<Duration>) {
+    pub(crate) fn put_back(&self, connection: TargetConnection, keep: Option<Duration>) {
         let keep = match keep {
             Some(stated) => stated.mul_f64(constants::LIFE_SHARE),
             None => constants::UNSTATED_TTL,
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -3,8 +3,8 @@
 pub(crate) mod guards;
 
 use super::{
-    connections::ConnectionPool, constants, crashes::keeper::CrashKeeper, journal::RequestJournal,
-    limits::LimitKeeper,
+    connections::ConnectionPool, constants, crashes::keeper::CrashTracker, journal::RequestJournal,
+    limits::LimitTracker,
 };
 use crate::{clock, options::site::RouterFile};
 use metrics::counter;
@@ -45,9 +45,9 @@
     /// Targets, configuration and versions.
     pub(crate) pool: RefCell<TargetPool>,
     /// Crashes of targets, and the calls that were there.
-    pub(crate) crashes: CrashKeeper,
+    pub(crate) crashes: CrashTracker,
     /// What customers use.
-    pub(crate) limits: LimitKeeper,
+    pub(crate) limits: LimitTracker,
     /// Whether a newer configuration may be in force than the one that is known.
     pub(crate) may_be_behind: Cell<bool>,
     /// Unused connections to targets.
@@ -88,8 +88,8 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             boot,
-            crashes: CrashKeeper::new(&settings.name, boot),
-            limits: LimitKeeper::new(boot, settings.bounds.limits.terms()),
+            crashes: CrashTracker::new(&settings.name, boot),
+            limits: LimitTracker::new(boot, settings.bounds.limits.terms()),
             may_be_behind: Cell::new(false),
             settings: RefCell::new(settings),
             pool: RefCell::new(TargetPool::new()),
--- a/crates/daemon/src/router/crashes/keeper.rs
+++ b/crates/daemon/src/router/crashes/keeper.rs
@@ -19,7 +19,7 @@
 const RENEW_PAUSE: Duration = CRASH_TTL;
 
 /// What this router knows of crashes.
-pub(crate) struct CrashKeeper {
+pub(crate) struct CrashTracker {
     pub(super) ledger: RefCell<CrashLedger>,
     pub(super) runs: RefCell<UnresolvedRuns>,
     /// Targets to which a connection is being tried.
@@ -32,7 +32,7 @@
     news: watch::Sender<Arc<CrashReport>>,
 }
 
-impl CrashKeeper {
+impl CrashTracker {
     /// Starts with nothing known, at this start of the named router.
     pub(crate) fn new(router: &Arc<str>, boot: BootId) -> Self {
         let ledger = CrashLedger::new(Arc::clone(router), boot);
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -194,9 +194,9 @@
     }
 
     /// Gives back what was counted for the call, if it was not run.
-    pub(crate) fn give_back(&self) {
+    pub(crate) fn refund(&self) {
         if let Some(charge) = self.charge.filter(|_| self.record.runs == 0) {
-            self.context.limits.give_back(charge);
+            self.context.limits.refund(charge);
         }
     }
 
@@ -244,12 +244,12 @@
             };
             // Targets may have ended under it since it came: in this call, or at other routers.
             if self.is_quarantined() {
-                self.give_back_turn(choice.turn);
+                self.refund_turn(choice.turn);
                 return self.give_up(last, GivenUp::Held(CRASH_TTL));
             }
             if self.record.sends > 0 && !self.context.try_retry(&self.service) {
                 self.note("repeat refused: budget spent");
-                self.give_back_turn(choice.turn);
+                self.refund_turn(choice.turn);
                 return self.give_up(last, GivenUp::NotRun(constants::BUSY_PAUSE));
             }
             let incarnation = choice.incarnation.clone();
@@ -270,9 +270,9 @@
     }
 
     /// Gives back the unit of a target's limit that was taken for a request which did not reach it.
-    fn give_back_turn(&self, turn: Option<UsageCharge>) {
+    fn refund_turn(&self, turn: Option<UsageCharge>) {
         if let Some(turn) = turn {
-            self.context.limits.give_back(turn);
+            self.context.limits.refund(turn);
         }
     }
 
@@ -361,7 +361,7 @@
                     match self.context.take_turn(&incarnation).await {
                         // It may have spoken while the turn was waited for.
                         TargetTurn::Granted(turn) if !self.context.is_open(&incarnation) => {
-                            self.give_back_turn(turn);
+                            self.refund_turn(turn);
                         }
                         TargetTurn::Granted(turn) => {
                             self.record.load_wait += clock::now().saturating_sub(began);
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -57,7 +57,7 @@
         };
         let request = self.target_request(incarnation, version);
         let (Some(address), Some(request)) = (address, request) else {
-            self.give_back_turn(turn);
+            self.refund_turn(turn);
             return Err(SendFailure { proof: RunProof::NotRun, reply: None });
         };
         let mut guard = CallGuard::new(
@@ -77,7 +77,7 @@
                 return self.judge(answer, connection, guard, latency).await;
             }
             Some(SendEnd::Unsent(reason)) => {
-                self.give_back_turn(turn);
+                self.refund_turn(turn);
                 guard.set_end(RunEnd::Settled);
                 self.note(&format!("{incarnation} not reached: {reason}"));
                 (RunProof::NotRun, CallOutcome::Silent)
@@ -210,7 +210,7 @@
         let is_foreign = proof == RunProof::Unknown;
         let whole = if is_foreign { None } else { self.read_failure(body).await };
         if whole.is_some() {
-            self.context.connections.give_back(connection, calls::connection_life(&parts.headers));
+            self.context.connections.put_back(connection, calls::connection_life(&parts.headers));
         }
         let may_relay = proof == RunProof::Failed
             && failure_reply(self.route.kind, head.status) == FailureReply::AsIs;
--- a/crates/daemon/src/router/limits.rs
+++ b/crates/daemon/src/router/limits.rs
@@ -8,7 +8,7 @@
         customers::CustomerRule,
         limits::{
             LimitTag,
-            account::{AccountBook, AccountView, CallTicket, SpendDecision, SpendResult},
+            account::{AccountTable, AccountView, CallTicket, SpendDecision, SpendResult},
             messages::{UsageGrant, UsageReport},
             terms::{FleetSize, LimitRule, LimitTerms, UsageCost, UsageLimit},
         },
@@ -34,8 +34,8 @@
 }
 
 /// What is used of limits at this router.
-pub(crate) struct LimitKeeper {
-    book: RefCell<AccountBook>,
+pub(crate) struct LimitTracker {
+    accounts: RefCell<AccountTable>,
     /// What customers' limits are judged by.
     customer_terms: Cell<LimitTerms>,
     waiting: RefCell<HashMap<CallTicket, oneshot::Sender<SpendDecision>>>,
@@ -43,11 +43,11 @@
     pub(crate) wake: Notify,
 }
 
-impl LimitKeeper {
+impl LimitTracker {
     /// Starts with nothing used.
     pub(crate) fn new(boot: BootId, terms: LimitTerms) -> Self {
         Self {
-            book: RefCell::new(AccountBook::new(boot, clock::now())),
+            accounts: RefCell::new(AccountTable::new(boot, clock::now())),
             customer_terms: Cell::new(terms),
             waiting: RefCell::default(),
             wake: Notify::new(),
@@ -61,19 +61,19 @@
 
     /// Takes the limits of a configuration.
     pub(crate) fn set_limits(&self, config: &RouteConfig) {
-        self.book.borrow_mut().set_limits(config.number, &config.customers.limits());
+        self.accounts.borrow_mut().set_limits(config.number, &config.customers.limits());
     }
 
     /// Takes the number of routers and the targets beside which meters stand.
     pub(crate) fn set_fleet(&self, fleet: FleetSize, targets: Vec<InstanceId>, now: Timestamp) {
-        self.book.borrow_mut().set_fleet(fleet, targets, now);
-        self.book.borrow_mut().expire(now);
+        self.accounts.borrow_mut().set_fleet(fleet, targets, now);
+        self.accounts.borrow_mut().expire(now);
         self.settle();
     }
 
     /// Whether there are meters that may keep limits.
     pub(crate) fn knows_meters(&self) -> bool {
-        self.book.borrow().knows_meters()
+        self.accounts.borrow().knows_meters()
     }
 
     /// Counts a call against its customer's limit, and waits for the customer's meter where that must
@@ -110,8 +110,8 @@
         rule: &LimitRule,
         cost: UsageCost,
     ) -> (SpendDecision, UsageCharge) {
-        let spend = self.book.borrow_mut().spend(tag, rule, cost, clock::now());
-        if self.book.borrow().is_low(tag) {
+        let spend = self.accounts.borrow_mut().spend(tag, rule, cost, clock::now());
+        if self.accounts.borrow().is_low(tag) {
             self.wake.notify_one();
         }
         let decision = match spend {
@@ -123,12 +123,12 @@
 
     /// Pause after a refusal, where there will be room after `retry_after`.
     pub(crate) fn refusal_pause(&self, tag: LimitTag, retry_after: Duration) -> Duration {
-        self.book.borrow().refusal_pause(tag, retry_after)
+        self.accounts.borrow().refusal_pause(tag, retry_after)
     }
 
     /// Has the meters told at once what is known of targets' limits.
     pub(crate) fn report_limits_now(&self) {
-        self.book.borrow_mut().report_limits_now();
+        self.accounts.borrow_mut().report_limits_now();
         self.wake.notify_one();
     }
 
@@ -144,14 +144,14 @@
     }
 
     /// A call that was counted was not run.
-    pub(crate) fn give_back(&self, charge: UsageCharge) {
+    pub(crate) fn refund(&self, charge: UsageCharge) {
         let UsageCharge { tag, cost, spent } = charge;
-        self.book.borrow_mut().give_back(tag, cost, spent, clock::now());
+        self.accounts.borrow_mut().refund(tag, cost, spent, clock::now());
     }
 
     /// Takes what a meter answers.
     pub(crate) fn take_grant(&self, grant: &UsageGrant, now: Timestamp) {
-        self.book.borrow_mut().take_grant(grant, now);
+        self.accounts.borrow_mut().take_grant(grant, now);
         self.settle();
     }
 
@@ -163,7 +163,7 @@
         limit_updates: &[LimitUpdate],
         now: Timestamp,
     ) -> Vec<(InstanceId, UsageReport)> {
-        self.book.borrow_mut().take_reports(limit_updates, now)
+        self.accounts.borrow_mut().take_reports(limit_updates, now)
     }
 
     /// Shows on the metrics page what is known of customers' use.
@@ -188,11 +188,11 @@
 
     /// What is known of a limit's use.
     pub(crate) fn view_tag(&self, tag: LimitTag, now: Timestamp) -> Option<AccountView> {
-        self.book.borrow().view(tag, now)
+        self.accounts.borrow().view(tag, now)
     }
 
     fn settle(&self) {
-        let decided = self.book.borrow_mut().take_decided();
+        let decided = self.accounts.borrow_mut().take_decided();
         let mut waiting = self.waiting.borrow_mut();
         for (ticket, decision) in decided {
             if let Some(sender) = waiting.remove(&ticket) {
@@ -205,7 +205,7 @@
 
 /// A call that waits, for as long as this lives.
 struct WaitGuard<'a> {
-    keeper: &'a LimitKeeper,
+    keeper: &'a LimitTracker,
     ticket: CallTicket,
     is_decided: Cell<bool>,
 }
@@ -214,7 +214,7 @@
     fn drop(&mut self) {
         if !self.is_decided.get() {
             self.keeper.waiting.borrow_mut().remove(&self.ticket);
-            self.keeper.book.borrow_mut().withdraw(self.ticket);
+            self.keeper.accounts.borrow_mut().cancel(self.ticket);
         }
     }
 }
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -48,7 +48,7 @@
     let (outcome, result) = match read {
         Ok(Ok(whole)) => {
             let keep = calls::connection_life(head.headers());
-            exchange.context.connections.give_back(connection, keep);
+            exchange.context.connections.put_back(connection, keep);
             guard.survived();
             let bytes = whole.to_bytes();
             (CallOutcome::Answered, PlainRead::Whole(head.map(|()| ReplyBody::new(bytes))))
@@ -112,7 +112,7 @@
                 StreamEnd::Complete => {
                     let keep = calls::connection_life(answer.head.headers());
                     answer.guard.survived();
-                    self.exchange.context.connections.give_back(answer.connection, keep);
+                    self.exchange.context.connections.put_back(answer.connection, keep);
                     self.exchange.finish(CallEnd::Served, self.status);
                     return;
                 }
