--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -42,7 +42,7 @@
 impl CrashRecord {
     /// A call at an incarnation of a target.
     pub fn new(call: CallFingerprint, target: &TargetIncarnation) -> Self {
-        Self { call, target: target.incarnation_hash() }
+        Self { call, target: target.stable_hash() }
     }
 }
 
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -148,8 +148,8 @@
         };
         let missing = (f64::from(cost) - left).max(0.0);
         let seconds = missing / rate.max(f64::MIN_POSITIVE);
-        let retry_after = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_PAUSE);
-        SpendDecision::Refused { retry_after: Some(retry_after.clamp(LEAST_PAUSE, LONGEST_PAUSE)) }
+        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_PAUSE);
+        SpendDecision::Refused { retry_after: Some(wait.clamp(LEAST_PAUSE, LONGEST_PAUSE)) }
     }
 
     /// Units that the calls that wait need beyond what there is.
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -33,8 +33,8 @@
 }
 
 impl TargetIncarnation {
-    /// Hash by which processes tell each other of this incarnation.
-    pub fn incarnation_hash(&self) -> u64 {
+    /// Hash by which all processes know this incarnation.
+    pub fn stable_hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         // Not as a seed: short ids and starts that differ alike would cancel out.
         hasher.update(&self.started.unwrap_or_default().to_le_bytes());
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -102,7 +102,7 @@
             adapter_slots,
             memory_mb,
             bases,
-            load_requests: target.load_requests(now),
+            load_requests: target.list_load_requests(now),
             uses: target.take_uses(),
             wants_report,
         })
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -273,7 +273,7 @@
     }
 
     /// This router's load requests, for the loader.
-    pub fn load_requests(&self, now: Timestamp) -> Vec<LoadRequest> {
+    pub fn list_load_requests(&self, now: Timestamp) -> Vec<LoadRequest> {
         let load_requests = self.load_requests.iter().map(|(adapter, request)| LoadRequest {
             base: Arc::clone(&adapter.base),
             adapter: Arc::clone(&adapter.name),
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -446,7 +446,7 @@
                 other_incarnation => {
                     gone.extend(other_incarnation);
                     let mut state = TargetState::new(Arc::clone(entry));
-                    let departed = self.departed.remove(&entry.incarnation.incarnation_hash());
+                    let departed = self.departed.remove(&entry.incarnation.stable_hash());
                     let departed = departed.unwrap_or_default();
                     (state.limit, state.advertised) = (departed.limit, departed.advertised);
                     state
--- a/crates/core/src/direct/targets/advertised.rs
+++ b/crates/core/src/direct/targets/advertised.rs
@@ -42,7 +42,7 @@
         if let Some(target) = self.target_mut(incarnation) {
             return change(&mut target.advertised);
         }
-        let departed = self.departed.entry(incarnation.incarnation_hash()).or_default();
+        let departed = self.departed.entry(incarnation.stable_hash()).or_default();
         let is_news = change(&mut departed.advertised);
         self.bound_departed();
         is_news
--- a/crates/core/src/direct/targets/departed.rs
+++ b/crates/core/src/direct/targets/departed.rs
@@ -29,7 +29,7 @@
         let known = departed.filter(|target| target.is_limited() || target.advertised.is_known());
         self.departed.extend(known.map(|target| {
             let TargetState { limit, advertised, .. } = target;
-            (target.entry.incarnation.incarnation_hash(), DepartedTarget { limit, advertised })
+            (target.entry.incarnation.stable_hash(), DepartedTarget { limit, advertised })
         }));
         self.bound_departed();
     }
--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -37,7 +37,7 @@
             updates.iter().map(|update| (update.tag, update)).collect();
         let mut changed = Vec::new();
         for target in self.targets.values_mut() {
-            let Some(update) = by_tag.get(&target.entry.incarnation.incarnation_hash()) else {
+            let Some(update) = by_tag.get(&target.entry.incarnation.stable_hash()) else {
                 continue;
             };
             if target.limit.apply_update(update, now) {
@@ -55,8 +55,7 @@
     /// Updates of targets' limits to send to others.
     pub fn limit_updates(&self, now: Timestamp) -> Vec<LimitUpdate> {
         let limited = self.targets.values().filter(|target| target.limit.is_reported(now));
-        let listed =
-            limited.map(|target| (target.entry.incarnation.incarnation_hash(), &target.limit));
+        let listed = limited.map(|target| (target.entry.incarnation.stable_hash(), &target.limit));
         let departed = self.departed.iter().map(|(tag, departed)| (*tag, &departed.limit));
         limit_updates(listed.chain(departed), now)
     }
--- a/crates/daemon/src/router/turns.rs
+++ b/crates/daemon/src/router/turns.rs
@@ -54,7 +54,7 @@
             return;
         }
         for incarnation in &changed {
-            let told = updates.iter().find(|update| update.tag == incarnation.incarnation_hash());
+            let told = updates.iter().find(|update| update.tag == incarnation.stable_hash());
             let age = told.map_or(0, |update| update.age_ms);
             self.log_limit(incarnation, "loader", Duration::from_millis(age.into()));
         }
@@ -74,7 +74,7 @@
     /// Takes a unit of a target's limit for one request, if the target has one.
     pub(crate) async fn take_turn(&self, incarnation: &TargetIncarnation) -> TargetTurn {
         let Some(rate) = self.limit_rate(incarnation) else { return TargetTurn::Granted(None) };
-        let tag = incarnation.incarnation_hash();
+        let tag = incarnation.stable_hash();
         let turn = timeout(constants::TURN_WAIT, self.limits.take_turn(tag, rate)).await;
         let retry_after = match turn {
             Ok((SpendDecision::Granted, charge)) => {
