--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -113,7 +113,7 @@
     }
 
     /// Drops runs that are too old or whose targets drain, and returns the targets that have ended.
-    pub fn look(
+    pub fn resolve(
         &mut self,
         phase: impl Fn(&TargetIncarnation) -> IncarnationPhase,
         now: Timestamp,
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -108,7 +108,7 @@
     pub fn set_fleet(&mut self, fleet: FleetSize, targets: Vec<InstanceId>, now: Timestamp) {
         self.fleet = fleet;
         self.meters.set_targets(targets, now);
-        self.look(now);
+        self.refresh(now);
     }
 
     /// Takes the limits of a configuration. All accounts have them from then on: what is asked for under its
@@ -130,8 +130,8 @@
         !self.meters.links().is_empty()
     }
 
-    fn look(&mut self, now: Timestamp) {
-        if !self.meters.look(self.fleet.known, now) {
+    fn refresh(&mut self, now: Timestamp) {
+        if !self.meters.refresh(self.fleet.known, now) {
             return;
         }
         self.is_report_due = true;
@@ -197,7 +197,7 @@
         let Some(link) = self.meters.link_mut(grant.meter) else { return };
         link.note_answer(now);
         link.enrolment = grant.enrolment;
-        self.look(now);
+        self.refresh(now);
         for granted in &grant.grants {
             self.take_limit_grant(grant, granted, now);
         }
@@ -250,7 +250,7 @@
 
     /// Decides calls that have waited too long, and drops accounts that are not used any more.
     pub fn expire(&mut self, now: Timestamp) {
-        self.look(now);
+        self.refresh(now);
         let ttl = report_ttl(self.fleet.known);
         let is_awaited = self.meters.is_awaited(now);
         for account in self.accounts.values_mut() {
@@ -290,7 +290,7 @@
         limit_updates: &[LimitUpdate],
         now: Timestamp,
     ) -> Vec<(InstanceId, UsageReport)> {
-        self.look(now);
+        self.refresh(now);
         let is_changed = std::mem::take(&mut self.is_report_due);
         let pause = report_pause(self.fleet.known);
         let mut reports = Vec::new();
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -124,8 +124,8 @@
         self.links.sort_unstable_by_key(|link| link.tag);
     }
 
-    /// Looks again at which meters can be reached; returns whether that has changed.
-    pub fn look(&mut self, routers: usize, now: Timestamp) -> bool {
+    /// Determines again which meters can be reached; returns whether that has changed.
+    pub fn refresh(&mut self, routers: usize, now: Timestamp) -> bool {
         let has_none =
             !self.links.iter().any(|link| link.is_reachable && link.is_answering(routers, now));
         for link in &mut self.links {
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -98,7 +98,7 @@
     }
 
     /// Turns to the store if that is due, and says why.
-    pub fn look(&mut self, view: &SourceView<'_>, now: Timestamp) -> Option<&'static str> {
+    pub fn update(&mut self, view: &SourceView<'_>, now: Timestamp) -> Option<&'static str> {
         self.avoided.retain(|_, until| now < *until);
         if view.is_listed {
             self.listed_at.get_or_insert(now);
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -241,7 +241,7 @@
         let mut runs = UnresolvedRuns::default();
         let run = UnresolvedRun { call: FATAL, sent: NOW, is_broken: false };
         assert_eq!(runs.add(&incarnation(1), run, NOW), None);
-        let ended = runs.look(|_| phase, NOW + after);
+        let ended = runs.resolve(|_| phase, NOW + after);
         assert_eq!(!ended.is_empty(), ends, "{phase:?} after {after:?}");
         let calls = runs.take_ended(&incarnation(1), NOW + after);
         assert_eq!(!calls.is_empty(), remains, "{phase:?} after {after:?}");
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -227,7 +227,7 @@
             heard_at: ms(router.heard_at),
             drain_time: ms(DRAIN),
         };
-        if router.machine.look(&view, now).is_some() {
+        if router.machine.update(&view, now).is_some() {
             router.next_watch = self.now;
         }
         match router.question {
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -79,7 +79,7 @@
                 }
                 Some(_) => IncarnationPhase::Alive,
             };
-            self.crashes.runs.borrow_mut().look(phase, now)
+            self.crashes.runs.borrow_mut().resolve(phase, now)
         };
         for target in ended {
             self.note_end(&target, "gone from the list, or dark to its loader");
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -64,7 +64,7 @@
             heard_at: self.link.heard_at.get(),
             drain_time: self.link.drain_time(),
         };
-        if let Some(reason) = self.machine.look(&view, clock::now()) {
+        if let Some(reason) = self.machine.update(&view, clock::now()) {
             info!(self.link.logger, "store followed directly"; "step" => "sharing",
                 "reason" => reason);
             self.link.set_source(self.machine.source());
