--- a/crates/core/src/cost.rs
+++ b/crates/core/src/cost.rs
@@ -15,9 +15,9 @@
     pub batch: f64,
 }
 
-/// What an entry believes of a target at the moment of choice.
+/// What an entry estimates of a target at the moment of choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TargetOutlook {
+pub struct TargetEstimate {
     /// Expected wait for the adapter.
     pub load_stall: Duration,
     /// Requests running or waiting there, own offers in flight included.
@@ -27,28 +27,29 @@
     /// Mean time that a request runs.
     pub service_time: Duration,
     /// Round trip to its availability zone.
-    pub zone_trip: Duration,
+    pub zone_round_trip: Duration,
 }
 
 /// Expected wait for the target in milliseconds, less the gain of filling its batch.
-pub fn target_cost(weights: CostWeights, outlook: &TargetOutlook) -> f64 {
-    let stall = millis(outlook.load_stall) * weights.stall;
-    stall + queue_wait(outlook) - batch_gain(outlook) * weights.batch + millis(outlook.zone_trip)
+pub fn target_cost(weights: CostWeights, estimate: &TargetEstimate) -> f64 {
+    let stall = millis(estimate.load_stall) * weights.stall;
+    stall + queue_wait(estimate) - batch_gain(estimate) * weights.batch
+        + millis(estimate.zone_round_trip)
 }
 
 // A batch that is not full starts a request at once; each batch ahead costs a service time.
-fn queue_wait(outlook: &TargetOutlook) -> f64 {
-    let limit = outlook.batch_limit.max(1);
-    let ahead = f64::from((outlook.occupied + 1).saturating_sub(limit)) / f64::from(limit);
-    ahead * millis(outlook.service_time)
+fn queue_wait(estimate: &TargetEstimate) -> f64 {
+    let limit = estimate.batch_limit.max(1);
+    let ahead = f64::from((estimate.occupied + 1).saturating_sub(limit)) / f64::from(limit);
+    ahead * millis(estimate.service_time)
 }
 
-fn batch_gain(outlook: &TargetOutlook) -> f64 {
-    let limit = outlook.batch_limit.max(1);
-    if outlook.occupied >= limit {
+fn batch_gain(estimate: &TargetEstimate) -> f64 {
+    let limit = estimate.batch_limit.max(1);
+    if estimate.occupied >= limit {
         return 0.0;
     }
-    f64::from(outlook.occupied) / f64::from(limit) * BATCH_GAIN_MS
+    f64::from(estimate.occupied) / f64::from(limit) * BATCH_GAIN_MS
 }
 
 fn millis(duration: Duration) -> f64 {
--- a/crates/core/src/direct/call.rs
+++ b/crates/core/src/direct/call.rs
@@ -89,7 +89,7 @@
 
 /// What a router adds to a call that it sends on.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OnwardTerms {
+pub struct ForwardTerms {
     /// The only incarnation of a target that may run it.
     pub instance: Arc<str>,
     /// Time left until the caller gives up.
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -71,7 +71,7 @@
 /// Time for which an entry that is missing after an outage is still used. Entries lapse while the
 /// list's keeper is out and come back about two seconds after it does; dropping them at once would
 /// leave no targets at all, and keeping them longer would send work to targets that are gone.
-pub const LAPSE_HOLD: Duration = Duration::from_millis(2_200);
+pub const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
 
 /// A base model that a target holds, with adapters of it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -175,7 +175,7 @@
     entries: HashMap<InstanceId, Arc<TargetEntry>>,
     /// Entries missing since an outage, and until when they are used all the same.
     lapsed: HashMap<InstanceId, Timestamp>,
-    hold_until: Timestamp,
+    grace_until: Timestamp,
     is_out: bool,
 }
 
@@ -188,7 +188,7 @@
     /// The keeper answers again at `now`.
     pub fn note_contact(&mut self, now: Timestamp) {
         if std::mem::take(&mut self.is_out) {
-            self.hold_until = now + LAPSE_HOLD;
+            self.grace_until = now + LAPSE_GRACE;
         }
     }
 
@@ -248,10 +248,10 @@
     }
 
     fn remove(&mut self, id: &InstanceId, now: Timestamp) {
-        let is_held = self.is_out || now < self.hold_until;
+        let is_held = self.is_out || now < self.grace_until;
         let is_draining = self.entries.get(id).is_none_or(|entry| entry.is_draining);
         if is_held && !is_draining {
-            let until = self.hold_until.max(now);
+            let until = self.grace_until.max(now);
             self.lapsed.entry(Arc::clone(id)).or_insert(until);
         } else {
             self.lapsed.remove(id);
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -39,7 +39,7 @@
 
 /// Round trips from this entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneTrips {
+pub struct ZoneRoundTrips {
     /// To its own availability zone.
     pub own_zone: Duration,
     /// To another zone of its region.
@@ -48,7 +48,7 @@
     pub other_region: Duration,
 }
 
-impl Default for ZoneTrips {
+impl Default for ZoneRoundTrips {
     fn default() -> Self {
         Self {
             own_zone: Duration::ZERO,
@@ -66,7 +66,7 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// Round trips from it.
-    pub trips: ZoneTrips,
+    pub round_trips: ZoneRoundTrips,
     /// How a target is picked.
     pub policy: P,
 }
@@ -273,18 +273,18 @@
             Some(digest) if !view.expects(digest) => usual_load.mul_f64(RANK_SHARE * rank as f64),
             _ => Duration::ZERO,
         };
-        let trip = self.trip(&view.record) + rank_wait;
-        PolicyCandidate { target, outlook: view.outlook(digest, trip, unknown_load) }
+        let round_trip = self.round_trip(&view.record) + rank_wait;
+        PolicyCandidate { target, estimate: view.estimate(digest, round_trip, unknown_load) }
     }
 
-    fn trip(&self, record: &TargetRecord) -> Duration {
-        let trips = &self.options.trips;
+    fn round_trip(&self, record: &TargetRecord) -> Duration {
+        let round_trips = &self.options.round_trips;
         if record.region != self.options.region {
-            trips.other_region
+            round_trips.other_region
         } else if record.zone != self.options.zone {
-            trips.other_zone
+            round_trips.other_zone
         } else {
-            trips.own_zone
+            round_trips.own_zone
         }
     }
 
--- a/crates/core/src/entry/targets.rs
+++ b/crates/core/src/entry/targets.rs
@@ -1,7 +1,7 @@
 //! What an entry believes of the targets. All of it may be stale; that costs time, never a promise.
 
 use crate::{
-    cost::TargetOutlook,
+    cost::TargetEstimate,
     ids::{AdapterDigest, TargetName, Timestamp},
     protocol::TargetReport,
     target::{TargetKind, TargetRecord},
@@ -89,12 +89,12 @@
     }
 
     /// What to expect of it; a target that has not reported is taken to load in `unknown_load` time.
-    pub(crate) fn outlook(
+    pub(crate) fn estimate(
         &self,
         digest: Option<AdapterDigest>,
-        trip: Duration,
+        round_trip: Duration,
         unknown_load: Duration,
-    ) -> TargetOutlook {
+    ) -> TargetEstimate {
         let reported = self.report.batch_limit > 0;
         let load_wait = self.load_wait().unwrap_or(unknown_load);
         let load_stall = match digest {
@@ -106,12 +106,12 @@
         };
         // The report counts own requests too, but not those sent after it.
         let occupied = self.report.running + self.report.queued + self.sent_since_report;
-        TargetOutlook {
+        TargetEstimate {
             load_stall,
             occupied: occupied.max(self.in_flight),
             batch_limit: if reported { self.report.batch_limit } else { BATCH_LIMIT_GUESS },
             service_time: self.report.service_time,
-            zone_trip: trip,
+            zone_round_trip: round_trip,
         }
     }
 
--- a/crates/core/src/permits.rs
+++ b/crates/core/src/permits.rs
@@ -80,7 +80,7 @@
     }
 
     /// Adds a request, or updates its urgency.
-    pub fn ask(&mut self, request: PermitRequest, urgency: LoadUrgency, now: Timestamp) {
+    pub fn enqueue(&mut self, request: PermitRequest, urgency: LoadUrgency, now: Timestamp) {
         match self.waiting.iter_mut().find(|(waiting, _, _)| *waiting == request) {
             Some(known) => known.1 = urgency,
             None => self.waiting.push((request, urgency, now)),
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -1,6 +1,6 @@
 //! Policies that pick one of several candidate targets.
 
-use crate::cost::{CostWeights, TargetOutlook, target_cost};
+use crate::cost::{CostWeights, TargetEstimate, target_cost};
 
 /// Costs within this many milliseconds of the lowest count as equal and are drawn from at random,
 /// so that entries with equal views do not all pick the same target.
@@ -12,7 +12,7 @@
     /// Index of the target in the entry's table.
     pub target: usize,
     /// What is believed of it.
-    pub outlook: TargetOutlook,
+    pub estimate: TargetEstimate,
 }
 
 /// Picks a candidate.
@@ -67,10 +67,10 @@
             Self::Random => (draw % candidates.len() as u64) as usize,
             Self::Hash => 0,
             Self::LeastOutstanding => {
-                pick_lowest(candidates, draw, 0.0, |c| f64::from(c.outlook.occupied))
+                pick_lowest(candidates, draw, 0.0, |c| f64::from(c.estimate.occupied))
             }
             Self::Cost => {
-                pick_lowest(candidates, draw, NEAR_TIE_MS, |c| target_cost(weights, &c.outlook))
+                pick_lowest(candidates, draw, NEAR_TIE_MS, |c| target_cost(weights, &c.estimate))
             }
         }
     }
--- a/crates/core/tests/core/direct/membership.rs
+++ b/crates/core/tests/core/direct/membership.rs
@@ -1,7 +1,7 @@
 //! The list of targets through outages of its keeper.
 
 use super::support::{DESK, ms, target};
-use plantain_core::direct::membership::{LAPSE_HOLD, ListChange, TargetEntry, TargetList};
+use plantain_core::direct::membership::{LAPSE_GRACE, ListChange, TargetEntry, TargetList};
 use std::sync::Arc;
 
 fn entries(ids: &[(&str, u16)]) -> Vec<Arc<TargetEntry>> {
@@ -27,7 +27,7 @@
     list.replace(Vec::new(), ms(5_010));
     assert_eq!(ids(&list), ["d1", "d2"]);
     list.apply(&ListChange::Put(Arc::new(target("d1", DESK, "a", 1))), ms(6_000));
-    list.expire(ms(5_000) + LAPSE_HOLD);
+    list.expire(ms(5_000) + LAPSE_GRACE);
     assert_eq!(ids(&list), ["d1"], "what is missing after the hold is gone");
 }
 
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -1,7 +1,7 @@
 //! The entry's choice of a target.
 
 use plantain_core::{
-    entry::{EntryOptions, EntryState, RouteQuery, ZoneTrips},
+    entry::{EntryOptions, EntryState, RouteQuery, ZoneRoundTrips},
     ids::AdapterKey,
     outcome::{Refusal, RefusalReason},
     policy::RoutingPolicy,
@@ -29,7 +29,7 @@
     let mut state = EntryState::new(EntryOptions {
         region: "central".into(),
         zone: zone.into(),
-        trips: ZoneTrips::default(),
+        round_trips: ZoneRoundTrips::default(),
         policy: RoutingPolicy::Cost,
     });
     state.set_targets(targets);
--- a/crates/core/tests/core/permits.rs
+++ b/crates/core/tests/core/permits.rs
@@ -31,7 +31,7 @@
         for (index, (kind, millis)) in steps.into_iter().enumerate() {
             now += Duration::from_millis(u64::from(millis % 400));
             match kind % 3 {
-                0 | 1 => pool.ask(request(index as u64), urgency(kind % 2, 1), now),
+                0 | 1 => pool.enqueue(request(index as u64), urgency(kind % 2, 1), now),
                 _ => {
                     if let Some(ended) = active.pop() {
                         pool.end(&ended);
@@ -58,9 +58,9 @@
 #[test]
 fn most_urgent_request_goes_first() {
     let mut pool = PermitPool::new(LIMITS, Duration::ZERO);
-    pool.ask(request(1), urgency(0, 9), Duration::ZERO);
-    pool.ask(request(2), urgency(2, 1), Duration::ZERO);
-    pool.ask(request(3), urgency(2, 5), Duration::ZERO);
+    pool.enqueue(request(1), urgency(0, 9), Duration::ZERO);
+    pool.enqueue(request(2), urgency(2, 1), Duration::ZERO);
+    pool.enqueue(request(3), urgency(2, 5), Duration::ZERO);
     assert_eq!(pool.grant(Duration::ZERO), [request(3)]);
     assert_eq!(pool.next_grant(Duration::ZERO), Some(Duration::from_millis(250)));
     assert_eq!(pool.grant(Duration::from_millis(250)), [request(2)]);
--- a/crates/daemon/src/agent/permits.rs
+++ b/crates/daemon/src/agent/permits.rs
@@ -247,7 +247,7 @@
 
     /// Without a broker, each agent loads at its own small share of the store's rate.
     async fn ask_share(&self, request: &PermitRequest, urgency: LoadUrgency) {
-        self.share.borrow_mut().ask(request.clone(), urgency, self.started.elapsed());
+        self.share.borrow_mut().enqueue(request.clone(), urgency, self.started.elapsed());
         loop {
             // A grant to another follower shows when that one looks.
             self.share.borrow_mut().grant(self.started.elapsed());
--- a/crates/daemon/src/entry/broker.rs
+++ b/crates/daemon/src/entry/broker.rs
@@ -117,7 +117,7 @@
     let (granted, mut grant) = oneshot::channel();
     {
         let mut state = duty.state.borrow_mut();
-        state.pool.ask(request.clone(), urgency, duty.started.elapsed());
+        state.pool.enqueue(request.clone(), urgency, duty.started.elapsed());
         state.waiting.insert(request.clone(), granted);
     }
     duty.changed.notify_one();
@@ -136,7 +136,7 @@
                 Ok(Some(_)) if is_granted => {}
                 Ok(Some(PeerFrame::Ask { urgency, .. })) => {
                     let now = duty.started.elapsed();
-                    duty.state.borrow_mut().pool.ask(request.clone(), urgency, now);
+                    duty.state.borrow_mut().pool.enqueue(request.clone(), urgency, now);
                 }
                 Ok(Some(PeerFrame::Join)) => break Err(eyre!("a second question on one stream")),
                 Ok(None) => break Ok(()),
--- a/crates/daemon/src/entry/decisions.rs
+++ b/crates/daemon/src/entry/decisions.rs
@@ -4,7 +4,7 @@
 use metrics::{counter, gauge};
 use plantain_core::{
     config::PresetRecord,
-    entry::{EntryOptions, EntryState, RouteChoice, RouteQuery, ZoneTrips},
+    entry::{EntryOptions, EntryState, RouteChoice, RouteQuery, ZoneRoundTrips},
     ids::TargetName,
     outcome::{NotRunProof, Refusal, RefusalReason},
     policy::RoutingPolicy,
@@ -72,7 +72,7 @@
     let options = EntryOptions {
         region: settings.common.region.clone(),
         zone: settings.common.zone.clone(),
-        trips: ZoneTrips::default(),
+        round_trips: ZoneRoundTrips::default(),
         policy: settings.policy,
     };
     let mut duty = DecisionDuty { state: EntryState::new(options), started: Instant::now() };
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, body::Incoming};
 use plantain_core::{
     direct::{
-        call::OnwardTerms,
+        call::ForwardTerms,
         health::CallOutcome,
         membership::TargetIncarnation,
         proof::{
@@ -116,7 +116,7 @@
         incarnation: &TargetIncarnation,
         version: Option<AdapterVersion>,
     ) -> Option<Request<Full<Bytes>>> {
-        let terms = OnwardTerms {
+        let terms = ForwardTerms {
             instance: Arc::clone(&incarnation.id),
             time_left: self.time_left(),
             version,
--- a/crates/daemon/src/router/follow/told.rs
+++ b/crates/daemon/src/router/follow/told.rs
@@ -5,7 +5,7 @@
 use plantain_core::{
     direct::{
         config::record::ConfigRecord,
-        membership::LAPSE_HOLD,
+        membership::LAPSE_GRACE,
         sharing::{KindDelta, SharedChange, SharedDelta},
     },
     ids::Timestamp,
@@ -28,9 +28,9 @@
 }
 
 /// Another router lost the list for a while, and this one did not notice. Entries that lapsed meanwhile must be
-/// held here too: their targets live, and write them anew within [`LAPSE_HOLD`].
+/// held here too: their targets live, and write them anew within [`LAPSE_GRACE`].
 async fn take_regained(regained_at: Timestamp, link: &ControlLink) {
-    let is_known = link.regained_at.get().is_some_and(|known| regained_at < known + LAPSE_HOLD);
+    let is_known = link.regained_at.get().is_some_and(|known| regained_at < known + LAPSE_GRACE);
     let is_lost = link.progress(FollowedKind::Targets).failing_since.get().is_some();
     if !is_known && !is_lost {
         link.regained_at.set(Some(regained_at));
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -8,7 +8,7 @@
 use metrics::counter;
 use plantain_core::{
     direct::{
-        membership::LAPSE_HOLD,
+        membership::LAPSE_GRACE,
         sharing::{
             KindDelta, SharedDelta,
             source::{SourceMachine, SourceView, UpstreamReply},
@@ -169,7 +169,7 @@
     }
     let now = clock::now();
     let age_of = |at: Timestamp| now.saturating_sub(at).as_millis().try_into().unwrap_or(u32::MAX);
-    let is_lately = |at: &Timestamp| now.saturating_sub(*at) < LAPSE_HOLD;
+    let is_lately = |at: &Timestamp| now.saturating_sub(*at) < LAPSE_GRACE;
     let kinds = FollowedKind::ALL.into_iter().zip(logs.iter()).zip(revisions);
     let kinds = kinds.map(|((kind, log), revision)| {
         let whole =
