--- a/crates/core/tests/core/agent.rs
+++ b/crates/core/tests/core/agent.rs
@@ -228,7 +228,7 @@
 /// Guards against work that waits at an agent whose target wants no requests, and reaches it all the same; and against a
 /// rest that outlasts the target's restart.
 #[test]
-fn a_target_at_rest_gets_no_work_until_its_rest_is_over() {
+fn a_target_that_backs_off_gets_no_work_until_its_backoff_is_over() {
     let at = Duration::from_secs;
     let offered = |work| AgentEvent::Offered(Box::new(offer(work, 1)));
     let is_start = |action: &AgentAction| matches!(action, AgentAction::Start { .. });
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -61,7 +61,7 @@
 
 /// Several routers have calls at one target that ends. It is one crash, however many tell of it.
 #[test]
-fn one_crash_told_by_many_counts_once() {
+fn one_crash_reported_by_many_counts_once() {
     let mut hearer = ledger(99);
     for boot in 0..10 {
         let mut router = ledger(boot);
@@ -74,7 +74,7 @@
 /// An older report comes after a newer one, as datagrams and reads of stale copies do: what the newer one
 /// told still counts.
 #[test]
-fn late_news_undoes_nothing() {
+fn late_reports_undo_nothing() {
     let mut teller = ledger(1);
     let mut reports = Vec::new();
     for number in 0..QUARANTINE_CRASHES {
@@ -309,7 +309,7 @@
 quickcheck! {
     /// Whatever reports are lost or come twice, in whatever order: nobody counts more crashes than there
     /// were, and who has the newest report of each router counts all of them.
-    fn news_in_any_order_adds_up(crashes: Vec<(u8, u8)>, order: Vec<usize>) -> TestResult {
+    fn reports_in_any_order_add_up(crashes: Vec<(u8, u8)>, order: Vec<usize>) -> TestResult {
         let mut tellers: Vec<CrashLedger> = (0..4).map(ledger).collect();
         let mut sent: Vec<Arc<CrashReport>> = Vec::new();
         let mut incarnations = std::collections::BTreeSet::new();
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -214,7 +214,7 @@
 
 /// Guards against a target that is left alone because a run of its own failed with advice to one caller.
 #[test]
-fn only_a_request_that_is_turned_away_asks_for_rest() {
+fn only_a_request_that_is_turned_away_asks_for_backoff() {
     let case =
         |name, proof, status, stated, backoff| RestCase { name, proof, status, stated, backoff };
     let some = Some(ms(3_000));
@@ -235,7 +235,7 @@
 
 /// Guards against a rest that a shorter one cuts, and against one that keeps a target out of use for good.
 #[test]
-fn the_longest_rest_counts_and_is_bounded() {
+fn the_longest_backoff_counts_and_is_bounded() {
     let mut advertised = AdvertisedState::default();
     assert!(advertised.record_backoff(ms(3_000), ms(100)), "news");
     assert!(!advertised.record_backoff(ms(200), ms(150)), "no news");
@@ -247,7 +247,7 @@
 /// Guards against callers that are told to come back in a moment, or wait for a base model, where all targets are at rest;
 /// and against callers that are sent away for long where one target is well.
 #[test]
-fn the_first_target_to_end_its_rest_says_when_to_come_back() {
+fn the_first_target_to_end_its_backoff_says_when_to_come_back() {
     let mut pool = super::support::pool();
     let (zone, service): (ZoneName, ServiceName) = ("a".into(), ENGINES.into());
     let call = model_call(None);
--- a/crates/core/tests/core/direct/backlog.rs
+++ b/crates/core/tests/core/direct/backlog.rs
@@ -57,7 +57,7 @@
 
 /// A report says what waited when it was made. A second later that has been read.
 #[test]
-fn what_was_told_is_read_meanwhile() {
+fn what_was_reported_is_prefilled_meanwhile() {
     let mut pool = TargetPool::new();
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list(vec![Arc::new(target("e1", ENGINES, "a", 1))], ms(0));
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -189,12 +189,12 @@
         if !self.are_strangers {
             return FleetSize::new(all, all);
         }
-        let mut router_table = RouterTable::default();
-        router_table.note_listed();
+        let mut peer_table = RouterTable::default();
+        peer_table.note_listed();
         for other in (0..all).filter(|other| *other != router) {
-            router_table.note_name(&format!("r{other}").into(), self.now());
+            peer_table.note_name(&format!("r{other}").into(), self.now());
         }
-        FleetSize::new(1, router_table.presumed(1, self.started[router], self.now()))
+        FleetSize::new(1, peer_table.presumed(1, self.started[router], self.now()))
     }
 
     fn limit_rule(&self) -> LimitRule {
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn routers_meet_in_their_zone_if_it_has_engines() {
+fn routers_register_in_their_zone_if_it_has_engines() {
     let cases = [
         MeetingCase {
             name: "two of the own zone",
@@ -98,13 +98,13 @@
     }
     let expected = RelayOrder::new((0..60).map(router)).routers().next().expect("a router");
     for index in 0..60 {
-        let mut router_table = RouterTable::default();
-        router_table.note(&registry.take(&presence("a", index, true), ms(100)), ms(100));
+        let mut peer_table = RouterTable::default();
+        peer_table.note(&registry.take(&presence("a", index, true), ms(100)), ms(100));
         let own = router(index);
-        let order = router_table.view(&zone, own, ms(100)).same_zone;
+        let order = peer_table.view(&zone, own, ms(100)).same_zone;
         assert_eq!(order.routers().next(), Some(expected), "router {index}");
         assert_eq!(order.upstream(own, |_| true).is_none(), own == expected, "router {index}");
-        assert_eq!(router_table.count(&zone, own, ms(100)), 60, "router {index}");
+        assert_eq!(peer_table.count(&zone, own, ms(100)), 60, "router {index}");
     }
 }
 
@@ -112,15 +112,15 @@
 #[test]
 fn routers_that_died_are_not_counted_for_long() {
     let mut registry = PresenceRegistry::default();
-    let mut router_table = RouterTable::default();
+    let mut peer_table = RouterTable::default();
     let zone: ZoneName = "a".into();
     for second in 0..20 {
         let now = ms(second * 1_000);
         for index in 0..if second < 5 { 12 } else { 9 } {
             let directory = registry.take(&presence("a", index, true), now);
-            router_table.note(&directory, now);
+            peer_table.note(&directory, now);
         }
-        let count = router_table.count(&zone, router(0), now);
+        let count = peer_table.count(&zone, router(0), now);
         match second {
             0..9 => assert_eq!(count, 12, "second {second}"),
             15.. => assert_eq!(count, 9, "second {second}"),
@@ -131,7 +131,7 @@
 
 /// Routers of other zones come by only to ask for a number. Counted here, each would count several times.
 #[test]
-fn a_zone_is_counted_where_its_routers_meet() {
+fn a_zone_is_counted_where_its_routers_register() {
     let mut registry = PresenceRegistry::default();
     for index in 0..5 {
         registry.take(&presence("a", index, true), ms(0));
@@ -148,16 +148,16 @@
 fn routers_of_a_parted_zone_count_for_a_while() {
     let mut there = PresenceRegistry::default();
     let mut here = PresenceRegistry::default();
-    let mut router_table = RouterTable::default();
+    let mut peer_table = RouterTable::default();
     let zone: ZoneName = "a".into();
     for index in 10..17 {
         there.take(&presence("b", index, true), ms(0));
     }
-    router_table.note(&there.take(&presence("a", 1, false), ms(0)), ms(0));
+    peer_table.note(&there.take(&presence("a", 1, false), ms(0)), ms(0));
     for second in 0..40 {
         let now = ms(second * 1_000);
-        router_table.note(&here.take(&presence("a", 1, true), now), now);
-        let count = router_table.count(&zone, router(1), now);
+        peer_table.note(&here.take(&presence("a", 1, true), now), now);
+        let count = peer_table.count(&zone, router(1), now);
         assert_eq!(count, if second < 20 { 8 } else { 1 }, "second {second}");
     }
 }
@@ -165,17 +165,17 @@
 /// Answers of loaders that hear of a change at different times cross. The highest number counts: with too
 /// low a one each router takes too much of the budget that all share.
 #[test]
-fn the_highest_number_told_lately_counts() {
+fn the_highest_number_reported_lately_counts() {
     let mut full = PresenceRegistry::default();
     let mut fresh = PresenceRegistry::default();
     for index in 0..10 {
         full.take(&presence("a", index, true), ms(0));
     }
     let own = presence("a", 0, true);
-    let mut router_table = RouterTable::default();
-    router_table.note(&full.take(&own, ms(10)), ms(10));
-    router_table.note(&fresh.take(&own, ms(20)), ms(20));
-    assert_eq!(router_table.count(&"a".into(), router(0), ms(20)), 10);
+    let mut peer_table = RouterTable::default();
+    peer_table.note(&full.take(&own, ms(10)), ms(10));
+    peer_table.note(&fresh.take(&own, ms(20)), ms(20));
+    assert_eq!(peer_table.count(&"a".into(), router(0), ms(20)), 10);
 }
 
 /// Routers of a fleet that has just started must learn all numbers soon, and later not ask for all of them
@@ -184,39 +184,39 @@
 #[test]
 fn zones_without_a_number_are_asked_each_turn() {
     let mut there = PresenceRegistry::default();
-    let mut router_table = RouterTable::default();
+    let mut peer_table = RouterTable::default();
     let zones: Vec<ZoneName> = vec!["b".into(), "c".into(), "d".into()];
     for zone in ["b", "d"] {
         let directory = there.take(&presence(zone, 5, true), ms(0));
-        router_table.note(&directory, ms(0));
+        peer_table.note(&directory, ms(0));
     }
-    assert_eq!(router_table.zones_to_ask(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
-    assert_eq!(router_table.zones_to_ask(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
-    assert_eq!(router_table.zones_to_ask(&zones, 10, ms(10_000)), [&zones[1]]);
-    assert!(router_table.zones_to_ask(&[], 10, ms(10_000)).is_empty());
+    assert_eq!(peer_table.zones_to_ask(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
+    assert_eq!(peer_table.zones_to_ask(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
+    assert_eq!(peer_table.zones_to_ask(&zones, 10, ms(10_000)), [&zones[1]]);
+    assert!(peer_table.zones_to_ask(&[], 10, ms(10_000)).is_empty());
 }
 
 /// Guards against a router that takes itself for the only one because nobody has told it of others yet.
 #[test]
 fn a_router_that_met_nobody_presumes_others() {
-    let mut router_table = RouterTable::default();
+    let mut peer_table = RouterTable::default();
     let (started, later) = (ms(1_000), ms(10_000));
-    assert!(router_table.presumed(1, started, later) >= 330, "nothing was read");
-    router_table.note_listed();
-    assert!(router_table.presumed(1, started, ms(1_500)) >= 330, "others have just started too");
-    assert_eq!(router_table.presumed(1, started, later), 1);
+    assert!(peer_table.presumed(1, started, later) >= 330, "nothing was read");
+    peer_table.note_listed();
+    assert!(peer_table.presumed(1, started, ms(1_500)) >= 330, "others have just started too");
+    assert_eq!(peer_table.presumed(1, started, later), 1);
     for name in ["a", "b", "a"] {
-        router_table.note_name(&name.into(), later);
+        peer_table.note_name(&name.into(), later);
     }
-    assert_eq!(router_table.presumed(1, started, later), 3);
-    assert_eq!(router_table.presumed(7, started, later), 7, "loaders know more");
+    assert_eq!(peer_table.presumed(1, started, later), 3);
+    assert_eq!(peer_table.presumed(7, started, later), 7, "loaders know more");
     // Nobody can renew a report while the store is out.
-    router_table.set_lost(true, later);
-    router_table.expire(ms(100_000_000));
-    assert_eq!(router_table.presumed(1, started, ms(100_000_000)), 3);
-    router_table.set_lost(false, ms(100_000_000));
-    router_table.expire(ms(100_000_001));
-    assert_eq!(router_table.presumed(1, started, ms(100_000_001)), 3);
-    router_table.expire(ms(200_000_000));
-    assert_eq!(router_table.presumed(1, started, ms(200_000_000)), 1, "gone for good");
+    peer_table.set_lost(true, later);
+    peer_table.expire(ms(100_000_000));
+    assert_eq!(peer_table.presumed(1, started, ms(100_000_000)), 3);
+    peer_table.set_lost(false, ms(100_000_000));
+    peer_table.expire(ms(100_000_001));
+    assert_eq!(peer_table.presumed(1, started, ms(100_000_001)), 3);
+    peer_table.expire(ms(200_000_000));
+    assert_eq!(peer_table.presumed(1, started, ms(200_000_000)), 1, "gone for good");
 }
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -52,7 +52,7 @@
 struct Router {
     pool: TargetPool,
     schedule: NoticeSchedule,
-    router_table: RouterTable,
+    peer_table: RouterTable,
     presences: usize,
     incarnation: u64,
 }
@@ -186,7 +186,7 @@
         counts
             .map(|(index, router)| {
                 let (zone, own) = (zone_name(index), router_address(index));
-                router.router_table.count(&zone, own, ms(self.now))
+                router.peer_table.count(&zone, own, ms(self.now))
             })
             .collect()
     }
@@ -341,7 +341,7 @@
         let turn = router.presences;
         router.presences += 1;
         let zones: Vec<ZoneName> = (0..ZONES).map(zone_name).filter(|z| *z != zone).collect();
-        let asked = router.router_table.zones_to_ask(&zones, turn, ms(self.now));
+        let asked = router.peer_table.zones_to_ask(&zones, turn, ms(self.now));
         let asked: Vec<usize> =
             asked.into_iter().map(|other| self.registry(other)[turn % 2]).collect();
         let mut own = self.registry(&zone);
@@ -392,7 +392,7 @@
             LoaderMessage::Report(report) => {
                 router.pool.take_report(host(index).ip(), report, now);
             }
-            LoaderMessage::Directory(directory) => router.router_table.note(&directory, now),
+            LoaderMessage::Directory(directory) => router.peer_table.note(&directory, now),
             LoaderMessage::Grant(_) | LoaderMessage::Presence(_) => {}
         }
     }
@@ -460,8 +460,8 @@
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list((0..plan.engines).map(entry).collect(), ms(0));
     let boot = incarnation * 1_000_000 + index as u64;
-    let router_table = RouterTable::default();
-    Router { pool, schedule: NoticeSchedule::new(boot), router_table, presences: 0, incarnation }
+    let peer_table = RouterTable::default();
+    Router { pool, schedule: NoticeSchedule::new(boot), peer_table, presences: 0, incarnation }
 }
 
 fn new_loader(index: usize, incarnation: u64, is_alive: bool) -> Loader {
--- a/crates/core/tests/core/direct/load_shedding.rs
+++ b/crates/core/tests/core/direct/load_shedding.rs
@@ -105,7 +105,7 @@
 /// All targets of a service work five times as long as usual, and two thirds of their places are free.
 /// Turning callers away would help nobody; with the same time to an answer and all places taken it does.
 #[test]
-fn slow_targets_with_free_places_turn_nobody_away() {
+fn slow_targets_with_free_slots_turn_nobody_away() {
     const ROUTERS: usize = 4;
     let slots = (SLOTS * 4) as u32;
     let mut gauge = ConcurrencyGauge::default();
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -302,7 +302,7 @@
 
 /// An engine that does not answer gets no orders, and its loader says so to routers.
 #[test]
-fn a_dark_engine_gets_no_orders() {
+fn an_unresponsive_engine_gets_no_orders() {
     let mut machine = machine(7, &[("a", 1)]);
     machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     machine.note_silence(ms(5));
--- a/crates/core/tests/core/direct/loader/incarnations.rs
+++ b/crates/core/tests/core/direct/loader/incarnations.rs
@@ -50,7 +50,7 @@
 /// the order count that the lost load names, the engine carries it out. With every place taken by then, it
 /// would hold one adapter too many and crash; so one place is kept free until the count has passed.
 #[test]
-fn a_load_lost_in_an_earlier_life_finds_a_place() {
+fn a_load_lost_in_an_earlier_incarnation_finds_a_slot() {
     let mut machine = machine(4, &[("a", 1), ("b", 1), ("c", 1)]);
     machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     let step = machine.next_step(ms(1));
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -21,7 +21,7 @@
 
 /// Routers told every loader of themselves, calls or not: at 300 hosts that was more than callers sent.
 #[test]
-fn only_loaders_of_engines_with_calls_are_told() {
+fn only_loaders_of_engines_with_calls_get_notices() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
     assert!(due(&mut schedule, &pool, 0).is_empty(), "nothing runs or is wanted");
@@ -37,7 +37,7 @@
 /// The last call for an adapter ends. Until its loader hears so, the adapter keeps its place, and calls for
 /// others wait: it is told once more, and then no more.
 #[test]
-fn a_loader_is_told_that_nothing_runs_any_more() {
+fn a_loader_gets_a_notice_that_nothing_runs_any_more() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
     let e1: TargetIncarnation = "e1".into();
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -97,7 +97,7 @@
 /// Every adapter at the preferred engine is in use, and calls wait there for places already. One more
 /// would wait for runs to end, up to a second and a half; the next engine in the order has places.
 #[test]
-fn a_load_goes_where_it_need_not_wait_for_a_place() {
+fn a_load_goes_where_it_need_not_wait_for_a_slot() {
     let mut pool = pool();
     for id in ["e1", "e2", "e3"] {
         take_report(&mut pool, report(id, 1, &[]), ms(0));
@@ -234,7 +234,7 @@
 /// first, or all its calls are turned away. Should a late word of the dead one have made it the later
 /// entry, the first call that is turned away sets that right.
 #[test]
-fn the_later_life_at_an_address_is_taken_in_any_order() {
+fn the_later_incarnation_at_an_address_is_taken_in_any_order() {
     let listed = |id: &str, generation: u64| {
         Arc::new(TargetEntry { generation, ..target(id, DESK, "a", 9) })
     };
@@ -270,7 +270,7 @@
 
 /// Answers take long: turned into a reason to turn callers away only where calls wait for places.
 #[test]
-fn long_answers_count_as_a_queue_only_where_places_are_taken() {
+fn long_answers_count_as_a_queue_only_where_slots_are_taken() {
     let mut pool = pool();
     let (service, zone) = (DESK.into(), "a".into());
     for id in ["d1", "d2"] {
--- a/crates/core/tests/core/direct/selection/limits.rs
+++ b/crates/core/tests/core/direct/selection/limits.rs
@@ -33,7 +33,7 @@
 
 /// Guards against calls that wait for room at one target while others are free, or where there is none.
 #[test]
-fn a_target_without_room_is_left_out() {
+fn a_saturated_target_is_left_out() {
     let mut pool = engines_with(&["h7"]);
     fill(&mut pool, "d1", 500);
     assert_eq!(sent_to(&choose(&pool, DESK, None, 10)), Some("d2"));
@@ -89,7 +89,7 @@
 /// Guards against loads and copies at a target that takes next to no calls for them, and against a limit that nobody
 /// reaches moving all adapters.
 #[test]
-fn adapters_are_placed_where_there_is_room() {
+fn adapters_are_placed_at_targets_that_are_not_saturated() {
     let mut pool = engines_with(&[]);
     let call = model_call(Some("h7"));
     let (service, zone) = (ENGINES.into(), "b".into());
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -148,7 +148,7 @@
 /// A router that was away for long asks from a revision of which the log knows no more. Told "nothing",
 /// it would keep entries of targets that are gone.
 #[test]
-fn one_that_is_too_far_behind_reads_the_whole_list() {
+fn one_that_is_too_far_behind_reads_a_snapshot() {
     let cases = [
         LogCase { name: "nothing new", rounds: 3, since: 3, told: Some(0) },
         LogCase { name: "one round", rounds: 3, since: 2, told: Some(1) },
@@ -191,7 +191,7 @@
 
 /// Guards against routers that read the whole list one after the other: a relay that did passes on what has changed.
 #[test]
-fn a_whole_list_is_passed_on_as_changes() {
+fn a_snapshot_is_passed_on_as_changes() {
     let put = |id: &str, port| ListChange::Put(Arc::new(target(id, DESK, "a", port)));
     let mut state = FollowedState::default();
     for (id, port) in [("same", 1), ("changed", 2), ("gone", 3)] {
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -53,7 +53,7 @@
 
 struct Router {
     machine: SourceMachine,
-    router_table: RouterTable,
+    peer_table: RouterTable,
     view: PeerView,
     log: ChangeLog,
     revision: Option<u64>,
@@ -212,8 +212,8 @@
             let presence = RouterPresence { zone, address, registers_here: true, limit_updates };
             let directory = self.registry.take(&presence, ms(self.now));
             let router = &mut self.routers[index];
-            router.router_table.note(&directory, ms(self.now));
-            router.view = router.router_table.view(&zone_name(), address, ms(self.now));
+            router.peer_table.note(&directory, ms(self.now));
+            router.view = router.peer_table.view(&zone_name(), address, ms(self.now));
         }
         if self.routers[index].revision.is_none() {
             self.list(index);
@@ -342,7 +342,7 @@
 fn new_router(index: usize, now: u64) -> Router {
     Router {
         machine: SourceMachine::new(address(index)),
-        router_table: RouterTable::default(),
+        peer_table: RouterTable::default(),
         view: PeerView::default(),
         log: ChangeLog::default(),
         revision: None,
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -192,7 +192,7 @@
 
 /// Guards against limits that come back to life, or end, by words that were lost, doubled, late or sent in a circle.
 #[test]
-fn the_newest_word_of_a_limit_wins_wherever_it_comes_from() {
+fn the_newest_update_of_a_limit_wins_wherever_it_comes_from() {
     let mut table = LimitTable::default();
     table.take(&[update(Some(3.9), 100)], ms(10_000));
     assert_eq!(table.answer(&[], ms(10_500)), [update(Some(3.9), 600)]);
