--- a/crates/daemon/src/router/follow/told.rs
+++ b/crates/daemon/src/router/follow/told.rs
@@ -5,8 +5,8 @@
 use plantain_core::{
     direct::{
         config::record::ConfigRecord,
-        membership::LAPSE_HOLD,
-        sharing::{KindNews, SharedChange, SharedNews},
+        membership::LAPSE_GRACE,
+        sharing::{KindDelta, SharedChange, SharedDelta},
     },
     ids::Timestamp,
 };
@@ -15,7 +15,7 @@
 use std::{sync::Arc, time::Duration};
 
 /// Takes what another router has heard of the store.
-pub(in crate::router) async fn take_shared(news: SharedNews, link: &ControlLink) {
+pub(in crate::router) async fn take_shared(news: SharedDelta, link: &ControlLink) {
     let now = clock::now();
     let heard_at = now.saturating_sub(Duration::from_millis(news.age_ms.into()));
     link.heard_at.set(heard_at.max(link.heard_at.get()));
@@ -28,9 +28,9 @@
 }
 
 /// Another router lost the list for a while, and this one did not notice. Entries that lapsed meanwhile must be
-/// held here too: their targets live, and write them anew within [`LAPSE_HOLD`].
+/// held here too: their targets live, and write them anew within [`LAPSE_GRACE`].
 async fn take_regained(regained_at: Timestamp, link: &ControlLink) {
-    let is_known = link.regained_at.get().is_some_and(|known| regained_at < known + LAPSE_HOLD);
+    let is_known = link.regained_at.get().is_some_and(|known| regained_at < known + LAPSE_GRACE);
     let is_lost = link.progress(FollowedKind::Targets).failing_since.get().is_some();
     if !is_known && !is_lost {
         link.regained_at.set(Some(regained_at));
@@ -39,17 +39,17 @@
     }
 }
 
-async fn take_kind(kind: FollowedKind, news: KindNews, link: &ControlLink) {
+async fn take_kind(kind: FollowedKind, news: KindDelta, link: &ControlLink) {
     let known = link.progress(kind).revision.get();
     if known.is_some_and(|known| known > news.revision) {
         // A watch of this router's own was answered meanwhile; older changes would undo it.
         return;
     }
     link.note_contact(kind).await;
-    if news.is_whole {
+    if news.is_snapshot {
         info!(link.logger, "read whole through a router"; "step" => "follow",
             "kind" => kind.name(), "revision" => news.revision);
-        let logged = link.weigh_whole(kind, &news.changes);
+        let logged = link.classify_snapshot(kind, &news.changes);
         link.send(ControlEvent::Listed(kind, from_shared(news.changes, link))).await;
         link.progress(kind).revision.set(Some(news.revision));
         // Those behind this router need not read it whole for that.
@@ -59,7 +59,7 @@
         });
         return;
     }
-    let logged = link.weigh(news.changes.iter().cloned());
+    let logged = link.classify_changes(news.changes.iter().cloned());
     if !news.changes.is_empty() {
         link.send(ControlEvent::Changed(from_shared(news.changes, link))).await;
     }
--- a/crates/daemon/src/router/limits.rs
+++ b/crates/daemon/src/router/limits.rs
@@ -8,12 +8,12 @@
         customers::CustomerRule,
         limits::{
             LimitTag,
-            account::{AccountBook, AccountView, CallTicket, Spend, SpendVerdict},
+            account::{AccountTable, AccountView, CallTicket, SpendDecision, SpendResult},
             messages::{UsageGrant, UsageReport},
             terms::{FleetSize, LimitRule, LimitTerms, UsageCost, UsageLimit},
         },
         membership::InstanceId,
-        target_limit::{LimitNews, RequestRate, target_rule},
+        target_limit::{LimitUpdate, RequestRate, target_rule},
     },
     ids::{BootId, Timestamp},
 };
@@ -34,20 +34,20 @@
 }
 
 /// What is used of limits at this router.
-pub(crate) struct LimitKeeper {
-    book: RefCell<AccountBook>,
+pub(crate) struct LimitTracker {
+    accounts: RefCell<AccountTable>,
     /// What customers' limits are judged by.
     customer_terms: Cell<LimitTerms>,
-    waiting: RefCell<HashMap<CallTicket, oneshot::Sender<SpendVerdict>>>,
+    waiting: RefCell<HashMap<CallTicket, oneshot::Sender<SpendDecision>>>,
     /// Wakes the link to the meters.
     pub(crate) wake: Notify,
 }
 
-impl LimitKeeper {
+impl LimitTracker {
     /// Starts with nothing used.
     pub(crate) fn new(boot: BootId, terms: LimitTerms) -> Self {
         Self {
-            book: RefCell::new(AccountBook::new(boot, clock::now())),
+            accounts: RefCell::new(AccountTable::new(boot, clock::now())),
             customer_terms: Cell::new(terms),
             waiting: RefCell::default(),
             wake: Notify::new(),
@@ -61,19 +61,19 @@
 
     /// Takes the limits of a configuration.
     pub(crate) fn set_limits(&self, config: &RouteConfig) {
-        self.book.borrow_mut().set_limits(config.number, &config.customers.limits());
+        self.accounts.borrow_mut().set_limits(config.number, &config.customers.limits());
     }
 
     /// Takes the number of routers and the targets beside which meters stand.
     pub(crate) fn set_fleet(&self, fleet: FleetSize, targets: Vec<InstanceId>, now: Timestamp) {
-        self.book.borrow_mut().set_fleet(fleet, targets, now);
-        self.book.borrow_mut().expire(now);
+        self.accounts.borrow_mut().set_fleet(fleet, targets, now);
+        self.accounts.borrow_mut().expire(now);
         self.settle();
     }
 
     /// Whether there are meters that may keep limits.
     pub(crate) fn knows_meters(&self) -> bool {
-        self.book.borrow().knows_meters()
+        self.accounts.borrow().knows_meters()
     }
 
     /// Counts a call against its customer's limit, and waits for the customer's meter where that must
@@ -83,15 +83,15 @@
         customer: &CustomerRule,
         limit: &UsageLimit,
         cost: UsageCost,
-    ) -> (SpendVerdict, UsageCharge) {
+    ) -> (SpendDecision, UsageCharge) {
         let terms = self.customer_terms.get();
         let rule = LimitRule { limit: *limit, terms, is_used_before: false };
-        let (verdict, charge) = self.spend(customer.tag(), &rule, cost).await;
-        let outcome = if verdict == SpendVerdict::Granted { "granted" } else { "refused" };
+        let (decision, charge) = self.spend(customer.tag(), &rule, cost).await;
+        let outcome = if decision == SpendDecision::Granted { "granted" } else { "refused" };
         counter!("plantain_customer_units_total", "customer" => customer.name.to_string(),
             "outcome" => outcome)
         .increment(u64::from(cost));
-        (verdict, charge)
+        (decision, charge)
     }
 
     /// Counts a request against the limit that its target states. Where the target's meter must be asked, it waits
@@ -100,7 +100,7 @@
         &self,
         target: LimitTag,
         rate: RequestRate,
-    ) -> (SpendVerdict, UsageCharge) {
+    ) -> (SpendDecision, UsageCharge) {
         self.spend(target, &target_rule(rate), 1).await
     }
 
@@ -109,61 +109,61 @@
         tag: LimitTag,
         rule: &LimitRule,
         cost: UsageCost,
-    ) -> (SpendVerdict, UsageCharge) {
-        let spend = self.book.borrow_mut().spend(tag, rule, cost, clock::now());
-        if self.book.borrow().is_low(tag) {
+    ) -> (SpendDecision, UsageCharge) {
+        let spend = self.accounts.borrow_mut().spend(tag, rule, cost, clock::now());
+        if self.accounts.borrow().is_low(tag) {
             self.wake.notify_one();
         }
-        let verdict = match spend {
-            Spend::Decided(verdict) => verdict,
-            Spend::Waiting(ticket) => self.wait(ticket).await,
+        let decision = match spend {
+            SpendResult::Decided(decision) => decision,
+            SpendResult::Waiting(ticket) => self.wait(ticket).await,
         };
-        (verdict, UsageCharge { tag, cost, spent: clock::now() })
+        (decision, UsageCharge { tag, cost, spent: clock::now() })
     }
 
-    /// Pause after a refusal, where there will be room after `room_in`.
-    pub(crate) fn refusal_pause(&self, tag: LimitTag, room_in: Duration) -> Duration {
-        self.book.borrow().refusal_pause(tag, room_in)
+    /// Pause after a refusal, where there will be room after `retry_after`.
+    pub(crate) fn refusal_pause(&self, tag: LimitTag, retry_after: Duration) -> Duration {
+        self.accounts.borrow().refusal_pause(tag, retry_after)
     }
 
     /// Has the meters told at once what is known of targets' limits.
-    pub(crate) fn tell_news(&self) {
-        self.book.borrow_mut().tell_news();
+    pub(crate) fn report_limits_now(&self) {
+        self.accounts.borrow_mut().report_limits_now();
         self.wake.notify_one();
     }
 
-    async fn wait(&self, ticket: CallTicket) -> SpendVerdict {
+    async fn wait(&self, ticket: CallTicket) -> SpendDecision {
         let (sender, decided) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         self.wake.notify_one();
         let guard = WaitGuard { keeper: self, ticket, is_decided: Cell::new(false) };
-        let verdict = decided.await;
+        let decision = decided.await;
         guard.is_decided.set(true);
         // Each call that waits is decided after a while at the latest.
-        verdict.unwrap_or(SpendVerdict::Refused { room_in: None })
+        decision.unwrap_or(SpendDecision::Refused { retry_after: None })
     }
 
     /// A call that was counted was not run.
-    pub(crate) fn give_back(&self, charge: UsageCharge) {
+    pub(crate) fn refund(&self, charge: UsageCharge) {
         let UsageCharge { tag, cost, spent } = charge;
-        self.book.borrow_mut().give_back(tag, cost, spent, clock::now());
+        self.accounts.borrow_mut().refund(tag, cost, spent, clock::now());
     }
 
     /// Takes what a meter answers.
     pub(crate) fn take_grant(&self, grant: &UsageGrant, now: Timestamp) {
-        self.book.borrow_mut().take_grant(grant, now);
+        self.accounts.borrow_mut().take_grant(grant, now);
         self.settle();
     }
 
     /// Reports that are due, each with the target beside which its meter stands.
     ///
-    /// Each tells `news` of targets' limits.
+    /// Each tells `limit_updates` of targets' limits.
     pub(crate) fn take_reports(
         &self,
-        news: &[LimitNews],
+        limit_updates: &[LimitUpdate],
         now: Timestamp,
     ) -> Vec<(InstanceId, UsageReport)> {
-        self.book.borrow_mut().take_reports(news, now)
+        self.accounts.borrow_mut().take_reports(limit_updates, now)
     }
 
     /// Shows on the metrics page what is known of customers' use.
@@ -188,16 +188,16 @@
 
     /// What is known of a limit's use.
     pub(crate) fn view_tag(&self, tag: LimitTag, now: Timestamp) -> Option<AccountView> {
-        self.book.borrow().view(tag, now)
+        self.accounts.borrow().view(tag, now)
     }
 
     fn settle(&self) {
-        let decided = self.book.borrow_mut().take_decided();
+        let decided = self.accounts.borrow_mut().take_decided();
         let mut waiting = self.waiting.borrow_mut();
-        for (ticket, verdict) in decided {
+        for (ticket, decision) in decided {
             if let Some(sender) = waiting.remove(&ticket) {
                 // A caller that has just gone does not hear it; its call is counted all the same.
-                let _ = sender.send(verdict);
+                let _ = sender.send(decision);
             }
         }
     }
@@ -205,7 +205,7 @@
 
 /// A call that waits, for as long as this lives.
 struct WaitGuard<'a> {
-    keeper: &'a LimitKeeper,
+    keeper: &'a LimitTracker,
     ticket: CallTicket,
     is_decided: Cell<bool>,
 }
@@ -214,7 +214,7 @@
     fn drop(&mut self) {
         if !self.is_decided.get() {
             self.keeper.waiting.borrow_mut().remove(&self.ticket);
-            self.keeper.book.borrow_mut().withdraw(self.ticket);
+            self.keeper.accounts.borrow_mut().cancel(self.ticket);
         }
     }
 }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -5,8 +5,8 @@
 use metrics::counter;
 use plantain_core::{
     direct::{
-        directory::{RouterPresence, meeting_targets},
-        membership::{InstanceId, TargetLife},
+        directory::{RouterPresence, registry_targets},
+        membership::{InstanceId, TargetIncarnation},
         messages::{LoaderMessage, LoaderReport, RouterMessage},
         notices::NoticeSchedule,
     },
@@ -69,17 +69,17 @@
         match postcard::from_bytes::<LoaderMessage>(datagram) {
             Ok(LoaderMessage::Report(report)) => self.take_report(report, sender.ip()),
             Ok(LoaderMessage::Presence(presence)) => {
-                let directory = self.context.meeting.borrow_mut().take(&presence, clock::now());
+                let directory = self.context.registry.borrow_mut().take(&presence, clock::now());
                 self.send(sender.ip(), &LoaderMessage::Directory(directory));
             }
             Ok(LoaderMessage::Directory(directory)) => {
                 let now = clock::now();
                 self.context.note_routers(&directory, now);
-                self.context.take_limit_news(&directory.news, now);
+                self.context.apply_limit_updates(&directory.limit_updates, now);
             }
             Ok(LoaderMessage::Grant(grant)) => {
                 let now = clock::now();
-                self.context.take_limit_news(&grant.news, now);
+                self.context.apply_limit_updates(&grant.limit_updates, now);
                 self.context.limits.take_grant(&grant, now);
                 self.send_usage();
             }
@@ -90,11 +90,11 @@
     /// Tells the meters that are due what is used and wanted of limits.
     fn send_usage(&self) {
         let now = clock::now();
-        let news = self.context.pool.borrow().limit_news(now);
-        for (target, report) in self.context.limits.take_reports(&news, now) {
+        let limit_updates = self.context.pool.borrow().limit_updates(now);
+        for (target, report) in self.context.limits.take_reports(&limit_updates, now) {
             let host = {
                 let pool = self.context.pool.borrow();
-                let meter = pool.engines().find(|engine| engine.entry.life.id == target);
+                let meter = pool.engines().find(|engine| engine.entry.incarnation.id == target);
                 meter.map(|engine| engine.entry.address.ip())
             };
             if let Some(host) = host {
@@ -105,24 +105,25 @@
 
     fn take_report(&mut self, report: LoaderReport, host: IpAddr) {
         let now = clock::now();
-        let life = report.life.clone();
+        let incarnation = report.incarnation.clone();
         let mut pool = self.context.pool.borrow_mut();
-        let was_silent = pool.target(&life).is_some_and(|target| target.is_silent(now));
+        let was_silent =
+            pool.target(&incarnation).is_some_and(|target| target.is_loader_silent(now));
         let is_news = pool.take_report(host, report, now);
         drop(pool);
         if is_news {
             if was_silent {
                 info!(self.context.logger, "loader regained"; "step" => "link",
-                    "target" => &*life.id, "started" => life.started);
+                    "target" => &*incarnation.id, "started" => incarnation.started);
             }
-            self.context.wake_waiters(&life);
+            self.context.wake_waiters(&incarnation);
         }
     }
 
     fn send_hurried(&mut self) {
         let hurried = std::mem::take(&mut *self.context.hurried.borrow_mut());
-        for life in hurried {
-            self.send_notice(&life);
+        for incarnation in hurried {
+            self.send_notice(&incarnation);
         }
     }
 
@@ -133,16 +134,16 @@
             let pool = self.context.pool.borrow();
             self.schedule.due(&pool, routers, now, rand::random::<f64>)
         };
-        for life in due {
-            self.send_notice(&life);
+        for incarnation in due {
+            self.send_notice(&incarnation);
         }
     }
 
-    fn send_notice(&mut self, life: &TargetLife) {
+    fn send_notice(&mut self, incarnation: &TargetIncarnation) {
         let notice = {
             let mut pool = self.context.pool.borrow_mut();
-            let notice = self.schedule.make(&mut pool, life, clock::now());
-            notice.and_then(|notice| Some((pool.target(life)?.entry.address.ip(), notice)))
+            let notice = self.schedule.make(&mut pool, incarnation, clock::now());
+            notice.and_then(|notice| Some((pool.target(incarnation)?.entry.address.ip(), notice)))
         };
         let Some((host, notice)) = notice else { return };
         self.send(host, &RouterMessage::Notice(notice));
@@ -169,17 +170,17 @@
             let settings = self.context.settings.borrow();
             (Arc::clone(&settings.zone), settings.peer_listen)
         };
-        let mut own = self.meeting_hosts(&zone);
+        let mut own = self.registry_hosts(&zone);
         if own.is_empty() {
-            self.meet_at_routers(&RouterPresence {
+            self.register_at_routers(&RouterPresence {
                 zone,
                 address,
-                meets_here: true,
-                news: Vec::new(),
+                registers_here: true,
+                limit_updates: Vec::new(),
             });
             return;
         }
-        let news = self.context.pool.borrow().limit_news(clock::now());
+        let limit_updates = self.context.pool.borrow().limit_updates(clock::now());
         let turn = self.presences;
         self.presences += 1;
         if turn > 0 {
@@ -187,21 +188,31 @@
         }
         for host in own {
             let zone = Arc::clone(&zone);
-            let presence = RouterPresence { zone, address, meets_here: true, news: news.clone() };
+            let presence = RouterPresence {
+                zone,
+                address,
+                registers_here: true,
+                limit_updates: limit_updates.clone(),
+            };
             self.send(host, &RouterMessage::Presence(presence));
         }
         let others = self.other_zones(&zone);
         for other in self.context.zones_to_ask(&others, turn) {
-            let hosts = self.meeting_hosts(other);
+            let hosts = self.registry_hosts(other);
             let Some(host) = hosts.choose(&mut rand::rng()) else { continue };
             let zone = Arc::clone(&zone);
-            let presence = RouterPresence { zone, address, meets_here: false, news: news.clone() };
+            let presence = RouterPresence {
+                zone,
+                address,
+                registers_here: false,
+                limit_updates: limit_updates.clone(),
+            };
             self.send(*host, &RouterMessage::Presence(presence));
         }
     }
 
     /// Comes by at the routers of the settings, while no loader is known.
-    fn meet_at_routers(&self, presence: &RouterPresence) {
+    fn register_at_routers(&self, presence: &RouterPresence) {
         let peers = self.context.settings.borrow().peers.clone();
         for peer in peers {
             self.send(peer.ip(), &LoaderMessage::Presence(presence.clone()));
@@ -216,12 +227,12 @@
     }
 
     /// Hosts of the loaders at which the routers of a zone meet.
-    fn meeting_hosts(&self, zone: &ZoneName) -> Vec<IpAddr> {
-        let meeting = zone_meeting(&self.context, zone);
+    fn registry_hosts(&self, zone: &ZoneName) -> Vec<IpAddr> {
+        let registry = zone_registry(&self.context, zone);
         let pool = self.context.pool.borrow();
-        let hosts = meeting
+        let hosts = registry
             .iter()
-            .filter_map(|id| pool.engines().find(|engine| engine.entry.life.id == *id));
+            .filter_map(|id| pool.engines().find(|engine| engine.entry.incarnation.id == *id));
         hosts.map(|engine| engine.entry.address.ip()).collect()
     }
 
@@ -251,11 +262,11 @@
 }
 
 /// The targets beside whose loaders the routers of a zone meet.
-fn zone_meeting(context: &RouterContext, zone: &ZoneName) -> Vec<InstanceId> {
+fn zone_registry(context: &RouterContext, zone: &ZoneName) -> Vec<InstanceId> {
     let pool = context.pool.borrow();
-    let alive = pool.engines().filter(|target| !target.is_leaving() && !target.has_ended());
-    let alive = alive.map(|target| (&target.entry.life.id, &target.entry.zone));
-    meeting_targets(zone, alive)
+    let alive = pool.engines().filter(|target| !target.is_draining() && !target.has_ended());
+    let alive = alive.map(|target| (&target.entry.incarnation.id, &target.entry.zone));
+    registry_targets(zone, alive)
 }
 
 /// Looks which loaders are meters: those at which the routers of any zone meet, while a customer or a target has a
@@ -263,12 +274,12 @@
 pub(crate) fn follow_meters(context: &RouterContext, now: Timestamp) {
     let config = Arc::clone(context.pool.borrow().config());
     let is_limited = config.customers.rules().iter().any(|customer| customer.limit.is_some())
-        || context.pool.borrow().has_limit_news(now);
+        || context.pool.borrow().has_limit_updates(now);
     context.limits.set_limits(&config);
     let mut meters = Vec::new();
     if is_limited {
         let zones = all_zones(context);
-        meters.extend(zones.iter().flat_map(|zone| zone_meeting(context, zone)));
+        meters.extend(zones.iter().flat_map(|zone| zone_registry(context, zone)));
         meters.sort_unstable();
         meters.dedup();
     }
--- a/crates/daemon/src/router/turns.rs
+++ b/crates/daemon/src/router/turns.rs
@@ -5,9 +5,9 @@
 use metrics::counter;
 use plantain_core::{
     direct::{
-        limits::account::SpendVerdict,
-        membership::TargetLife,
-        target_limit::{LimitNews, RequestRate, StatedLimit},
+        limits::account::SpendDecision,
+        membership::TargetIncarnation,
+        target_limit::{AdvertisedLimit, LimitUpdate, RequestRate},
     },
     ids::Timestamp,
 };
@@ -25,70 +25,75 @@
 
 impl RouterContext {
     /// Takes what an answer states of its target's limit, to a call that was sent at `sent`.
-    pub(crate) fn note_limit(&self, life: &TargetLife, stated: StatedLimit, sent: Timestamp) {
-        if stated != StatedLimit::Unlimited {
+    pub(crate) fn note_limit(
+        &self,
+        incarnation: &TargetIncarnation,
+        stated: AdvertisedLimit,
+        sent: Timestamp,
+    ) {
+        if stated != AdvertisedLimit::Unlimited {
             counter!("plantain_limited_answers_total").increment(1);
         }
-        if stated == StatedLimit::Unreadable {
+        if stated == AdvertisedLimit::Unreadable {
             warn!(self.logger, "limit of target not understood"; "step" => "target_limit",
-                "target" => &*life.id, "started" => life.started);
+                "target" => &*incarnation.id, "started" => incarnation.started);
         }
         let now = clock::now();
-        let is_changed = self.pool.borrow_mut().record_limit(life, stated, sent, now);
+        let is_changed = self.pool.borrow_mut().record_limit(incarnation, stated, sent, now);
         if is_changed {
-            self.log_limit(life, "answer", now.saturating_sub(sent));
+            self.log_limit(incarnation, "answer", now.saturating_sub(sent));
             links::follow_meters(self, now);
-            self.limits.tell_news();
+            self.limits.report_limits_now();
         }
     }
 
     /// Takes what a loader tells of targets' limits.
-    pub(crate) fn take_limit_news(&self, news: &[LimitNews], now: Timestamp) {
-        let changed = self.pool.borrow_mut().take_limit_news(news, now);
+    pub(crate) fn apply_limit_updates(&self, updates: &[LimitUpdate], now: Timestamp) {
+        let changed = self.pool.borrow_mut().apply_limit_updates(updates, now);
         if changed.is_empty() {
             return;
         }
-        for life in &changed {
-            let told = news.iter().find(|news| news.tag == life.life_hash());
-            let age = told.map_or(0, |news| news.age_ms);
-            self.log_limit(life, "loader", Duration::from_millis(age.into()));
+        for incarnation in &changed {
+            let told = updates.iter().find(|update| update.tag == incarnation.stable_hash());
+            let age = told.map_or(0, |update| update.age_ms);
+            self.log_limit(incarnation, "loader", Duration::from_millis(age.into()));
         }
         links::follow_meters(self, now);
     }
 
-    fn log_limit(&self, life: &TargetLife, source: &str, age: Duration) {
+    fn log_limit(&self, incarnation: &TargetIncarnation, source: &str, age: Duration) {
         info!(self.logger, "limit of target changed"; "step" => "target_limit",
-            "target" => &*life.id, "started" => life.started, "rate" => self.limit_rate(life),
+            "target" => &*incarnation.id, "started" => incarnation.started, "rate" => self.limit_rate(incarnation),
             "source" => source, "age_ms" => age.as_millis() as u64);
     }
 
-    fn limit_rate(&self, life: &TargetLife) -> Option<RequestRate> {
-        self.pool.borrow().target(life)?.limit.rate
+    fn limit_rate(&self, incarnation: &TargetIncarnation) -> Option<RequestRate> {
+        self.pool.borrow().target(incarnation)?.limit.rate
     }
 
     /// Takes a unit of a target's limit for one request, if the target has one.
-    pub(crate) async fn take_turn(&self, life: &TargetLife) -> TargetTurn {
-        let Some(rate) = self.limit_rate(life) else { return TargetTurn::Granted(None) };
-        let tag = life.life_hash();
+    pub(crate) async fn take_turn(&self, incarnation: &TargetIncarnation) -> TargetTurn {
+        let Some(rate) = self.limit_rate(incarnation) else { return TargetTurn::Granted(None) };
+        let tag = incarnation.stable_hash();
         let turn = timeout(constants::TURN_WAIT, self.limits.take_turn(tag, rate)).await;
-        let room_in = match turn {
-            Ok((SpendVerdict::Granted, charge)) => {
+        let retry_after = match turn {
+            Ok((SpendDecision::Granted, charge)) => {
                 counter!("plantain_target_turns_total", "outcome" => "granted").increment(1);
                 return TargetTurn::Granted(Some(charge));
             }
-            Ok((SpendVerdict::Refused { room_in }, _)) => room_in,
+            Ok((SpendDecision::Refused { retry_after }, _)) => retry_after,
             Err(_) => None,
         };
-        if self.limit_rate(life).is_none() {
+        if self.limit_rate(incarnation).is_none() {
             // The meter's answer said that the limit has ended.
             return TargetTurn::Granted(None);
         }
         counter!("plantain_target_turns_total", "outcome" => "refused").increment(1);
         let now = clock::now();
-        let pause = self.limits.refusal_pause(tag, room_in.unwrap_or_default());
+        let pause = self.limits.refusal_pause(tag, retry_after.unwrap_or_default());
         let until = now + pause.mul_f64(0.5 + 0.5 * rand::random::<f64>());
-        self.pool.borrow_mut().note_full(life, until);
-        let mut grounds = format!("{life} takes {rate} requests a second");
+        self.pool.borrow_mut().record_saturation(incarnation, until);
+        let mut grounds = format!("{incarnation} takes {rate} requests a second");
         match self.limits.view_tag(tag, now) {
             Some(view) if view.age.is_some() => {
                 let age = view.age.unwrap_or_default().as_millis();
@@ -100,7 +105,7 @@
     }
 
     /// Time until a limit that is used up may have room again, if a target of the service has one.
-    pub(crate) fn room_in(&self, service: &str) -> Option<Duration> {
-        self.pool.borrow().room_in(service, clock::now())
+    pub(crate) fn limit_retry_after(&self, service: &str) -> Option<Duration> {
+        self.pool.borrow().limit_retry_after(service, clock::now())
     }
 }
