--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -210,7 +210,9 @@
         let is_foreign = proof == RunProof::Unknown;
         let whole = if is_foreign { None } else { self.read_failure(body).await };
         if whole.is_some() {
-            self.context.connections.put_back(connection, calls::connection_life(&parts.headers));
+            self.context
+                .connections
+                .put_back(connection, calls::keep_alive_timeout(&parts.headers));
         }
         let may_relay = proof == RunProof::Failed
             && failure_reply(self.route.kind, head.status) == FailureReply::AsIs;
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -47,7 +47,7 @@
     let read = timeout(exchange.time_left(), whole).await;
     let (outcome, result) = match read {
         Ok(Ok(whole)) => {
-            let keep = calls::connection_life(head.headers());
+            let keep = calls::keep_alive_timeout(head.headers());
             exchange.context.connections.put_back(connection, keep);
             guard.survived();
             let bytes = whole.to_bytes();
@@ -110,7 +110,7 @@
             );
             match end {
                 StreamEnd::Complete => {
-                    let keep = calls::connection_life(answer.head.headers());
+                    let keep = calls::keep_alive_timeout(answer.head.headers());
                     answer.guard.survived();
                     self.exchange.context.connections.put_back(answer.connection, keep);
                     self.exchange.finish(CallEnd::Served, self.status);
