--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -120,7 +120,7 @@
         bar.finish_and_clear();
         match result {
             Ok(change) => {
-                self.tell(&change, summary);
+                self.print_change(&change, summary);
                 self.wait(change.root.revision).await
             }
             Err(CommitError::Invalid(error)) => Err(CommandError::Invalid(error.to_string())),
@@ -132,17 +132,17 @@
         }
     }
 
-    fn tell(&self, change: &AcceptedChange, summary: &str) {
+    fn print_change(&self, change: &AcceptedChange, summary: &str) {
         let root = &change.root;
         if self.settings.json {
             output::print_json(&json!({
                 "revision": root.revision, "operation": root.operation, "preset": root.preset,
-                "summary": summary, "settled": change.settled,
+                "summary": summary, "settled": change.was_read_back,
             }));
             return;
         }
         println!("revision {}: {summary}", root.revision);
-        if change.settled {
+        if change.was_read_back {
             println!("the platform's answer was lost; reading back shows that the change is made");
         }
     }
--- a/crates/ctl/src/commands/customers.rs
+++ b/crates/ctl/src/commands/customers.rs
@@ -50,7 +50,7 @@
 pub fn sum_customers<'a>(pages: impl Iterator<Item = &'a str>) -> Vec<CustomerRow> {
     let mut rows: BTreeMap<String, CustomerRow> = BTreeMap::new();
     for page in pages {
-        let mut words: BTreeMap<String, (f64, f64)> = BTreeMap::new();
+        let mut reports: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         for (name, labels, value) in page.lines().filter_map(parse_line) {
             let Some(customer) = label(labels, "customer") else { continue };
             let row = rows.entry(customer.to_owned()).or_insert_with(|| CustomerRow {
@@ -63,15 +63,15 @@
                 ("plantain_customer_units_total", Some("granted")) => row.granted += value,
                 ("plantain_customer_units_total", Some("refused")) => row.refused += value,
                 ("plantain_customer_left", _) => {
-                    words.entry(customer.to_owned()).or_default().0 = value;
+                    reports.entry(customer.to_owned()).or_default().0 = value;
                 }
                 ("plantain_customer_left_age_seconds", _) => {
-                    words.entry(customer.to_owned()).or_default().1 = value;
+                    reports.entry(customer.to_owned()).or_default().1 = value;
                 }
                 _ => {}
             }
         }
-        for (customer, (left, age)) in words {
+        for (customer, (left, age)) in reports {
             let Some(row) = rows.get_mut(&customer) else { continue };
             if row.age_s.is_none_or(|known| age < known) {
                 (row.left, row.age_s) = (left, Some(age));
@@ -96,18 +96,18 @@
 /// Prints the table for the routers at these metrics addresses.
 pub async fn carry_out(routers: &[SocketAddr], json: bool) -> Result<(), CommandError> {
     let client = HttpClient::new();
-    let (mut pages, mut silent) = (Vec::new(), Vec::new());
+    let (mut pages, mut unreachable) = (Vec::new(), Vec::new());
     for router in routers {
         let uri = url(*router, "/metrics");
         match client.get_text(&uri, PAGE_LIMIT).await {
             Ok(page) => pages.push(page),
-            Err(error) => silent.push(format!("{router}: {error:#}")),
+            Err(error) => unreachable.push(format!("{router}: {error:#}")),
         }
     }
     let rows = sum_customers(pages.iter().map(String::as_str));
     output::print_rows(&rows, json);
-    if silent.is_empty() {
+    if unreachable.is_empty() {
         return Ok(());
     }
-    Err(CommandError::Failed(format!("without {}", silent.join(", "))))
+    Err(CommandError::Failed(format!("without {}", unreachable.join(", "))))
 }
--- a/crates/ctl/src/commands/losses.rs
+++ b/crates/ctl/src/commands/losses.rs
@@ -55,7 +55,7 @@
 impl LossCause {
     fn new(line: &CallLine) -> Option<Self> {
         let cause = match line.outcome.as_str() {
-            "served" => Self::of_served(line),
+            "served" => Self::classify_served(line),
             "target_failed" => Self::TargetFailed,
             "broken_off" => Self::BrokenOff,
             "unknown" => Self::Unknown,
@@ -68,7 +68,7 @@
         Some(cause)
     }
 
-    fn of_served(line: &CallLine) -> Self {
+    fn classify_served(line: &CallLine) -> Self {
         let first_byte = line.first_byte_ms.unwrap_or(0);
         if first_byte <= line.objective_ms {
             Self::InTime
--- a/crates/ctl/src/commands/report.rs
+++ b/crates/ctl/src/commands/report.rs
@@ -72,7 +72,7 @@
     context: &CommandContext<'_>,
     html: Option<&Path>,
 ) -> Result<(), CommandError> {
-    let report = gather(context).await?;
+    let report = collect_report(context).await?;
     if let Some(file) = html {
         fs::write(file, page::render(&report))
             .map_err(|error| CommandError::Failed(format!("write {}: {error}", file.display())))?;
@@ -104,7 +104,7 @@
     }
 }
 
-async fn gather(context: &CommandContext<'_>) -> Result<FleetReport, CommandError> {
+async fn collect_report(context: &CommandContext<'_>) -> Result<FleetReport, CommandError> {
     let objectives = context.snapshot().await?.preset().objectives;
     let entries = context.platform.list::<EntryRecord>(ENTRY_KIND).await?.items;
     let entries: Vec<EntryRecord> = entries.into_iter().filter_map(|item| item.value).collect();
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -140,22 +140,23 @@
 }
 
 async fn read_processes(context: &CommandContext<'_>) -> Result<Vec<ProcessRow>, CommandError> {
-    let mut rows = announced(context).await?;
-    let mut asked = JoinSet::new();
+    let mut rows = list_processes(context).await?;
+    let mut queries = JoinSet::new();
     for (index, row) in rows.iter().enumerate() {
         let (http, uri) = (context.http.clone(), url(row.admin, "/status"));
-        asked.spawn(async move { (index, http.get_json::<Value>(&uri, STATUS_TIMEOUT).await) });
+        queries.spawn(async move { (index, http.get_json::<Value>(&uri, STATUS_TIMEOUT).await) });
     }
-    while let Some(Ok((index, answer))) = asked.join_next().await {
+    while let Some(Ok((index, answer))) = queries.join_next().await {
         // Another process may have taken over the address since; it must not be mixed up.
         let name = rows[index].name.clone();
-        let own = |value: &Value| value.get("name").and_then(Value::as_str) == Some(&*name);
-        rows[index].reported = answer.ok().filter(own);
+        let is_same_process =
+            |value: &Value| value.get("name").and_then(Value::as_str) == Some(&*name);
+        rows[index].reported = answer.ok().filter(is_same_process);
     }
     Ok(rows)
 }
 
-async fn announced(context: &CommandContext<'_>) -> Result<Vec<ProcessRow>, CommandError> {
+async fn list_processes(context: &CommandContext<'_>) -> Result<Vec<ProcessRow>, CommandError> {
     let hosts = context.platform.hosts().await?;
     let host_state = |name: &str| match hosts.iter().find(|host| host.name == name) {
         Some(host) if host.state == HostState::Leaving => "leaving",
--- a/crates/net/src/backoff.rs
+++ b/crates/net/src/backoff.rs
@@ -1,9 +1,9 @@
-//! Pauses between attempts, with jitter so that many processes do not come back at once.
+//! Exponential backoff with jitter, so that many processes do not retry at the same time.
 
 use rand::RngExt;
 use std::time::Duration;
 
-/// Doubles the pause with each failure in a row.
+/// Exponential backoff: the pause doubles with each consecutive failure.
 #[derive(Debug)]
 pub struct RetryBackoff {
     first: Duration,
@@ -12,17 +12,17 @@
 }
 
 impl RetryBackoff {
-    /// Pauses from about `first` up to about `limit`.
+    /// Creates a backoff whose pauses grow from `first` to `limit`, before jitter.
     pub fn new(first: Duration, limit: Duration) -> Self {
         Self { first, limit, failures: 0 }
     }
 
-    /// Starts over after a success.
+    /// Resets the pause to the first one after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The next pause: between half of it and all of it.
+    /// Counts a failure and returns the pause after it, with jitter.
     pub fn next_pause(&mut self) -> Duration {
         let pause = self.first.saturating_mul(1 << self.failures.min(10)).min(self.limit);
         self.failures += 1;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Between half of `pause` and all of it.
+/// Returns a uniformly random duration between half of `pause` and `pause`.
 pub fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..=1.0))
 }
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of HTTP answers: whole, or streamed through a bounded channel.
+//! Bodies of HTTP answers: in memory, or streamed through a bounded channel.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -9,40 +9,41 @@
 };
 use tokio::sync::mpsc;
 
-/// Pieces that a streamed body holds before its producer must wait.
+/// Chunks that a streamed body buffers; the producer waits when the buffer is full.
 pub const STREAM_DEPTH: usize = 32;
 
-/// Breaks off a body. The receiver sees a cut connection, never a short but well-formed answer.
+/// Aborts a body, with the reason. The receiver sees a closed connection, never a truncated body that looks
+/// complete.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BodyAbort(pub String);
 
 impl fmt::Display for BodyAbort {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "answer broken off: {}", self.0)
+        write!(formatter, "answer aborted: {}", self.0)
     }
 }
 
 impl std::error::Error for BodyAbort {}
 
-/// Sends the pieces of a streamed body.
+/// Sends the chunks of a streamed body, or an error that aborts it.
 pub type BodySender = mpsc::Sender<Result<Bytes, BodyAbort>>;
 
 /// The body of an answer.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// All of it.
+    /// The body in memory; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// As it comes.
+    /// Chunks, as the producer sends them.
     Streamed(mpsc::Receiver<Result<Bytes, BodyAbort>>),
 }
 
 impl ReplyBody {
-    /// A whole body.
+    /// Creates a body from bytes in memory.
     pub fn new(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
 
-    /// A streamed body and its sender.
+    /// Creates a streamed body and its sender.
     pub fn channel() -> (BodySender, Self) {
         let (sender, receiver) = mpsc::channel(STREAM_DEPTH);
         (sender, Self::Streamed(receiver))
@@ -60,7 +61,7 @@
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Streamed(receiver) => {
-                receiver.poll_recv(context).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+                receiver.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
--- a/crates/net/src/caller.rs
+++ b/crates/net/src/caller.rs
@@ -1,7 +1,7 @@
-//! Callers' connections, on which it is noticed that a caller has left while it is being answered.
+//! Callers' connections, with detection of a caller that disconnects while its request is being answered.
 //!
-//! The HTTP server does not read while bytes wait in its buffer that the caller has sent ahead, be it an empty line or
-//! the next request, and so does not see that the connection has ended behind them. A watch reads on in its place.
+//! The HTTP server stops reading while its buffer holds bytes that the caller sent early, such as an empty line or
+//! the next request, and so does not see the end of the connection behind them. A watch reads ahead in its place.
 
 use bytes::{Buf, BytesMut};
 use std::{
@@ -22,14 +22,14 @@
     time::{Sleep, sleep},
 };
 
-/// Bytes that are read ahead of the server: some requests of a usual size.
-const AHEAD_LIMIT: usize = 64 << 10;
-/// Bytes that are read at a time.
+/// Maximum number of bytes read ahead of the server; several requests of usual size.
+const READ_AHEAD_LIMIT: usize = 64 << 10;
+/// Bytes per read.
 const READ_SIZE: usize = 4 << 10;
-/// Pause between looks whether a connection has ended behind more bytes than are read ahead.
-const CLOSED_LOOK: Duration = Duration::from_millis(100);
+/// Interval of the checks for the end of a connection when more bytes have arrived than are read ahead.
+const CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How the bytes from a caller end.
+/// How the stream of bytes from a caller ended.
 #[derive(Clone, Copy, Debug)]
 enum InboundEnd {
     Closed,
@@ -37,25 +37,25 @@
 }
 
 #[derive(Debug)]
-struct InboundSide {
+struct InboundReader {
     half: OwnedReadHalf,
-    ahead: BytesMut,
+    read_ahead: BytesMut,
     end: Option<InboundEnd>,
-    /// Whether the server has met the end.
-    is_end_read: bool,
+    /// Whether the server has read the end of the stream or its error.
+    is_end_delivered: bool,
 }
 
-impl InboundSide {
-    /// Hands out what was read ahead, and then what comes.
+impl InboundReader {
+    /// Returns the bytes that were read ahead, then reads from the connection.
     fn poll_read(
         &mut self,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if !self.ahead.is_empty() {
-            let count = self.ahead.len().min(buffer.remaining());
-            buffer.put_slice(&self.ahead[..count]);
-            self.ahead.advance(count);
+        if !self.read_ahead.is_empty() {
+            let count = self.read_ahead.len().min(buffer.remaining());
+            buffer.put_slice(&self.read_ahead[..count]);
+            self.read_ahead.advance(count);
             return Poll::Ready(Ok(()));
         }
         let before = buffer.remaining();
@@ -64,108 +64,114 @@
             Some(InboundEnd::Failed(kind)) => Err(kind.into()),
             None => ready!(Pin::new(&mut self.half).poll_read(context, buffer)),
         };
-        self.is_end_read = result.is_err() || (before > 0 && buffer.remaining() == before);
+        self.is_end_delivered = result.is_err() || (before > 0 && buffer.remaining() == before);
         Poll::Ready(result)
     }
 
-    /// Reads ahead; ready once something has come or the end is there.
-    fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    /// Reads ahead; ready once bytes have arrived or the stream has ended.
+    fn poll_read_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let mut bytes = [MaybeUninit::uninit(); READ_SIZE];
         let mut buffer = ReadBuf::uninit(&mut bytes);
         match ready!(Pin::new(&mut self.half).poll_read(context, &mut buffer)) {
             Ok(()) if buffer.filled().is_empty() => self.end = Some(InboundEnd::Closed),
-            Ok(()) => self.ahead.extend_from_slice(buffer.filled()),
+            Ok(()) => self.read_ahead.extend_from_slice(buffer.filled()),
             Err(error) => self.end = Some(InboundEnd::Failed(error.kind())),
         }
         Poll::Ready(())
     }
 }
 
-type SharedSide = Arc<Mutex<InboundSide>>;
+type SharedReader = Arc<Mutex<InboundReader>>;
 
-fn lock(side: &SharedSide) -> MutexGuard<'_, InboundSide> {
-    side.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn lock(reader: &SharedReader) -> MutexGuard<'_, InboundReader> {
+    reader.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A caller's connection as the HTTP server uses it.
+/// A caller's connection, for the HTTP server.
 #[derive(Debug)]
 pub struct CallerSocket {
-    inbound: SharedSide,
+    inbound: SharedReader,
     outbound: OwnedWriteHalf,
 }
 
-/// Notices that the caller of a [`CallerSocket`] has left.
+/// Detects that the caller of a [`CallerSocket`] has disconnected.
 #[derive(Debug)]
 pub struct CallerWatch {
-    inbound: SharedSide,
-    look: Option<Pin<Box<Sleep>>>,
+    inbound: SharedReader,
+    check_timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// Splits a caller's connection into what the HTTP server uses and the watch over it.
+/// Splits a caller's connection into the socket for the HTTP server and the watch that reads ahead of it.
 pub fn watched(stream: TcpStream) -> (CallerSocket, CallerWatch) {
     let (half, outbound) = stream.into_split();
-    let side = InboundSide { half, ahead: BytesMut::new(), end: None, is_end_read: false };
-    let inbound = Arc::new(Mutex::new(side));
-    let watch = CallerWatch { inbound: Arc::clone(&inbound), look: None };
+    let reader =
+        InboundReader { half, read_ahead: BytesMut::new(), end: None, is_end_delivered: false };
+    let inbound = Arc::new(Mutex::new(reader));
+    let watch = CallerWatch { inbound: Arc::clone(&inbound), check_timer: None };
     (CallerSocket { inbound, outbound }, watch)
 }
 
-/// What a watch has noticed.
-enum CallerNews {
-    /// The server may have something to read.
+/// Result of polling a watch.
+enum CallerEvent {
+    /// The server must be polled again; there may be bytes to read.
     Readable,
-    /// The caller has left, and the server does not read so far.
-    Left,
+    /// The caller has disconnected, and the server has not read the end yet.
+    Disconnected,
 }
 
 impl CallerWatch {
-    /// Serves a connection until it ends, or until its caller has left; `None` then.
+    /// Polls `connection` until it ends; returns `None` if its caller disconnected first.
     ///
-    /// Both must be polled by one task: each takes the other's wakeups.
+    /// Both are polled by one task, because they share the wakeups of one socket.
     pub async fn serve<C: Future>(&mut self, mut connection: Pin<&mut C>) -> Option<C::Output> {
         poll_fn(|context| {
             loop {
-                // The server reads first, so that the watch only gets what the server leaves.
+                // The server is polled first, so that the watch reads only what the server does not.
                 if let Poll::Ready(output) = connection.as_mut().poll(context) {
                     return Poll::Ready(Some(output));
                 }
-                match ready!(self.poll_news(context)) {
-                    CallerNews::Readable => {}
-                    CallerNews::Left => return Poll::Ready(None),
+                match ready!(self.poll_event(context)) {
+                    CallerEvent::Readable => {}
+                    CallerEvent::Disconnected => return Poll::Ready(None),
                 }
             }
         })
         .await
     }
 
-    fn poll_news(&mut self, context: &mut Context<'_>) -> Poll<CallerNews> {
-        let mut side = lock(&self.inbound);
-        if side.is_end_read {
-            // The server knows, and ends in its own way.
+    fn poll_event(&mut self, context: &mut Context<'_>) -> Poll<CallerEvent> {
+        let mut reader = lock(&self.inbound);
+        if reader.is_end_delivered {
+            // The server has seen the end itself and closes the connection.
             return Poll::Pending;
         }
-        if side.end.is_some() {
-            return Poll::Ready(CallerNews::Left);
+        if reader.end.is_some() {
+            return Poll::Ready(CallerEvent::Disconnected);
         }
-        if side.ahead.len() < AHEAD_LIMIT {
-            return side.poll_ahead(context).map(|()| CallerNews::Readable);
+        if reader.read_ahead.len() < READ_AHEAD_LIMIT {
+            return reader.poll_read_ahead(context).map(|()| CallerEvent::Readable);
+        }
+        let is_closed = is_closed_behind_unread(&reader.half, context);
+        drop(reader);
+        if is_closed {
+            Poll::Ready(CallerEvent::Disconnected)
+        } else {
+            self.poll_check_timer(context)
         }
-        let is_closed = is_closed_behind(&side.half, context);
-        drop(side);
-        if is_closed { Poll::Ready(CallerNews::Left) } else { self.poll_look(context) }
     }
 
-    /// No wakeup comes for the end of a connection that has unread bytes.
-    fn poll_look(&mut self, context: &mut Context<'_>) -> Poll<CallerNews> {
-        let look = self.look.get_or_insert_with(|| Box::pin(sleep(CLOSED_LOOK)));
-        ready!(look.as_mut().poll(context));
-        self.look = None;
-        Poll::Ready(CallerNews::Readable)
+    /// Waits for the next check: the socket causes no wakeup for its end while it has unread bytes.
+    fn poll_check_timer(&mut self, context: &mut Context<'_>) -> Poll<CallerEvent> {
+        let check_timer =
+            self.check_timer.get_or_insert_with(|| Box::pin(sleep(CLOSED_CHECK_INTERVAL)));
+        ready!(check_timer.as_mut().poll(context));
+        self.check_timer = None;
+        Poll::Ready(CallerEvent::Readable)
     }
 }
 
-/// Whether the end of a connection has arrived behind bytes that nobody has read yet.
-fn is_closed_behind(half: &OwnedReadHalf, context: &mut Context<'_>) -> bool {
+/// Whether the end of a connection has arrived behind bytes that have not been read yet.
+fn is_closed_behind_unread(half: &OwnedReadHalf, context: &mut Context<'_>) -> bool {
     let ready = half.ready(Interest::READABLE);
     tokio::pin!(ready);
     matches!(ready.poll(context), Poll::Ready(Ok(ready)) if ready.is_read_closed())
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client with a time limit, whose errors carry the step and the peer.
+//! An HTTP client with time limits, whose errors name the request and the peer.
 
 use bytes::Bytes;
 use eyre::{Result, WrapErr, ensure, eyre};
@@ -12,42 +12,42 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::timeout;
 
-/// Longest wait for a connection.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that an unused connection is kept. Servers close idle ones too, many engines after 5 s, and a
-/// request sent on a connection in that moment fails with its outcome unknown; so ours goes first.
+/// Time after which an idle connection is closed. Servers close idle connections too, many engines after 5 s,
+/// and a request sent at that moment fails with its outcome unknown; so the client closes first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause between the kernel's probes of a connection on which a long answer is awaited.
+/// Idle time before the kernel's first keepalive probe, and the interval between probes.
 const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the kernel gives a connection up.
+/// Unanswered probes after which the kernel closes a connection.
 const PROBE_COUNT: u32 = 2;
-/// Largest answer that is read whole.
+/// Largest body that is read into memory, in bytes.
 const ANSWER_LIMIT: usize = 64 << 20;
 
-/// A pooled client of HTTP peers.
+/// An HTTP/1 client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// An answer read whole.
+/// An answer whose body was read into memory.
 #[derive(Debug)]
 pub struct HttpAnswer {
-    /// Its status.
+    /// Status of the answer, which may be an error.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: hyper::HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl HttpAnswer {
-    /// Reads the body as JSON.
+    /// Decodes the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
-        serde_json::from_slice(&self.body).wrap_err("read JSON answer")
+        serde_json::from_slice(&self.body).wrap_err("decode JSON answer")
     }
 
-    /// The body as text, for error messages.
+    /// The body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -60,13 +60,13 @@
 }
 
 impl HttpClient {
-    /// A client with an empty pool. Must be used on one Tokio runtime only.
+    /// Creates a client with an empty pool. It must be used on one Tokio runtime only.
     pub fn new() -> Self {
         Self::with_connector(HttpConnector::new())
     }
 
-    /// A client for long waits: the kernel probes its connections, so that one that fell silent is
-    /// noticed within seconds although no byte is due on it.
+    /// Creates a client for long polls. TCP keepalive probes detect a dead connection within seconds, although
+    /// no data is expected on it meanwhile.
     pub fn with_probes() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_keepalive(Some(PROBE_PAUSE));
@@ -81,14 +81,14 @@
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
-            // A request that met a closed connection may have been read by the peer; whether it is
-            // repeated is for the caller to decide, never for the pool.
+            // The peer may have read a request whose connection was closed; whether to retry it is the
+            // caller's decision, never the pool's.
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and returns when the head of the answer is there.
+    /// Sends a request and returns once the headers of the answer have arrived. It has no time limit.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -97,7 +97,7 @@
         self.client.request(request).await.map_err(|error| SendError::new(&step, &error))
     }
 
-    /// Sends a request and reads the answer whole, within `limit`.
+    /// Sends a request and reads the complete answer, within `limit`.
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Calls with a body and reads the answer whole.
+    /// Sends a JSON body and reads the complete answer, within `limit`; any status is an `Ok`.
     pub async fn call(
         &self,
         method: Method,
@@ -133,21 +133,21 @@
         self.fetch(request, limit).await
     }
 
-    /// Gets a page of text; any status but a success is an error.
+    /// Gets a text; a status other than success is an error.
     pub async fn get_text(&self, uri: &str, limit: Duration) -> Result<String> {
         let answer = self.call(Method::GET, uri, Bytes::new(), limit).await?;
         ensure!(answer.status.is_success(), "GET {uri}: {}", answer.status);
         Ok(answer.text())
     }
 
-    /// Gets a JSON value.
+    /// Gets a JSON value; a status other than success is an error.
     pub async fn get_json<T: DeserializeOwned>(&self, uri: &str, limit: Duration) -> Result<T> {
         let answer = self.call(Method::GET, uri, Bytes::new(), limit).await?;
         ensure!(answer.status.is_success(), "GET {uri}: {}: {}", answer.status, answer.text());
         answer.json().wrap_err_with(|| format!("GET {uri}"))
     }
 
-    /// Posts a JSON value and checks for success.
+    /// Posts a JSON value; a status other than success is an error.
     pub async fn post_json<T: Serialize + Sync>(
         &self,
         uri: &str,
@@ -160,17 +160,17 @@
     }
 }
 
-/// Joins an address and a path.
+/// Builds the `http` URL of a path at a peer.
 pub fn url(peer: SocketAddr, path: &str) -> String {
     format!("http://{peer}{path}")
 }
 
-/// Why a request got no answer.
+/// Failure of a request before the headers of its answer arrived.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SendError {
-    /// Step, peer and cause.
+    /// Method, URL and cause.
     pub message: String,
-    /// Whether no connection came about, so that no byte of the request was sent.
+    /// Whether connecting failed, so that no byte of the request was sent.
     pub unsent: bool,
 }
 
--- a/crates/net/src/config_store.rs
+++ b/crates/net/src/config_store.rs
@@ -1,4 +1,5 @@
-//! The configuration on the platform: reading a revision whole, and accepting a change.
+//! The configuration on the platform: a root object that names immutable parts. A change writes the changed
+//! parts first and takes effect by one conditional update of the root.
 
 use crate::platform::{
     PlatformClient, PlatformError, PlatformResult,
@@ -13,34 +14,34 @@
 use std::{collections::BTreeMap, fmt, sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Attempts to read back a write whose answer was lost.
-const SETTLE_ATTEMPTS: u32 = 20;
-/// Pause between them.
-const SETTLE_PAUSE: Duration = Duration::from_millis(250);
+/// Attempts to read back a root whose write got no answer, or to write a part.
+const READ_BACK_ATTEMPTS: u32 = 20;
+/// Pause between these attempts.
+const READ_BACK_PAUSE: Duration = Duration::from_millis(250);
 
-/// A change that was accepted.
+/// A change that is in force.
 #[derive(Clone, Debug)]
 pub struct AcceptedChange {
-    /// The root that holds it.
+    /// Root of the revision that contains the change.
     pub root: ConfigRoot,
-    /// Whether the platform's answer was lost and the change was found by reading back.
-    pub settled: bool,
+    /// Whether the platform's answer was lost and the change was confirmed by reading the root back.
+    pub was_read_back: bool,
 }
 
-/// Why a change was not accepted.
+/// Why a change was not made, or could not be confirmed.
 #[derive(Debug)]
 pub enum CommitError {
-    /// The change makes no sense against the configuration.
+    /// The change is not valid for the current configuration.
     Invalid(EditError),
-    /// Somebody else changed the configuration meanwhile; holds their root and the old one.
+    /// A concurrent change was made first; holds its root and the root before it.
     RaceLost(Box<(ConfigRoot, ConfigRoot)>),
-    /// The platform failed before the change was accepted.
+    /// A platform call failed before the root was written; the change is not in force.
     Platform(PlatformError),
-    /// The answer was lost and reading back failed too: the change may be in force.
-    Unsettled {
-        /// Operation id to look for.
+    /// The root's write got no answer, and reading back did not show its outcome: the change may be in force.
+    Unconfirmed {
+        /// Operation id that the root names if the change is in force.
         operation: String,
-        /// The last failure.
+        /// Failure of the write or of the last read.
         error: PlatformError,
     },
 }
@@ -53,12 +54,12 @@
                 let (theirs, _) = &**roots;
                 write!(
                     formatter,
-                    "not changed: {} won with revision {} ({})",
+                    "not changed: {} made revision {} first ({})",
                     theirs.author, theirs.revision, theirs.summary
                 )
             }
             Self::Platform(error) => write!(formatter, "not changed: {error}"),
-            Self::Unsettled { operation, error } => {
+            Self::Unconfirmed { operation, error } => {
                 write!(formatter, "operation {operation} may be in force: {error}")
             }
         }
@@ -80,12 +81,12 @@
 }
 
 impl ConfigStore {
-    /// A store on the platform.
+    /// Creates a store that uses this platform client.
     pub fn new(platform: PlatformClient) -> Self {
         Self { platform }
     }
 
-    /// Reads the root; `None` if nobody has configured anything.
+    /// Reads the root; `None` if there is no configuration yet.
     pub async fn root(&self) -> PlatformResult<Option<ObjectRecord<ConfigRoot>>> {
         match self.platform.get(ROOT_KIND, ROOT_NAME).await {
             Ok(object) => Ok(Some(object)),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Reads only the preset in force of a root, for processes that need no adapters.
+    /// Reads only the preset that a root puts in force, for processes that do not need the adapters.
     pub async fn preset(&self, root: &ConfigRoot) -> PlatformResult<PresetRecord> {
         let part_ref = root.parts.get(PRESETS_PART).ok_or(PlatformError::Missing)?;
         match self.part(&PRESETS_PART.to_owned(), part_ref).await? {
@@ -110,11 +111,11 @@
                 .into_iter()
                 .find(|preset| preset.name == root.preset)
                 .ok_or(PlatformError::Missing),
-            _ => Err(PlatformError::Malformed("the presets' part holds no presets".into())),
+            _ => Err(PlatformError::Malformed("the part of the presets has another type".into())),
         }
     }
 
-    /// Reads the parts that a root names and `known` does not have.
+    /// Builds the snapshot of a root: reuses the parts that `known` already has and reads the others.
     pub async fn complete(
         &self,
         root: ConfigRoot,
@@ -137,9 +138,10 @@
         object.value.ok_or(PlatformError::Missing)
     }
 
-    /// Makes a change by one conditional update of the root.
+    /// Applies `edits` to the current configuration and puts the result in force by one conditional update of
+    /// the root.
     ///
-    /// `progress` is told how many of how many parts have been written.
+    /// `progress` is called after each written part with the number written and the total.
     pub async fn commit(
         &self,
         edits: &[ConfigEdit],
@@ -212,16 +214,16 @@
         })
     }
 
-    // No other operation writes an object of this name, so finding it there means that an earlier
-    // attempt took effect and only its answer was lost.
+    // No other operation writes an object of this name, so a conflict means that an earlier attempt took
+    // effect and only its answer was lost.
     async fn write_part(&self, object: &str, part: &ConfigPart) -> PlatformResult<()> {
         let mut last = PlatformError::Missing;
-        for _ in 0..SETTLE_ATTEMPTS {
+        for _ in 0..READ_BACK_ATTEMPTS {
             match self.platform.put(PART_KIND, object, 0, part).await {
                 Ok(_) | Err(PlatformError::Conflict(_)) => return Ok(()),
                 Err(error @ (PlatformError::Unanswered(_) | PlatformError::Busy(_))) => {
                     last = error;
-                    sleep(SETTLE_PAUSE).await;
+                    sleep(READ_BACK_PAUSE).await;
                 }
                 Err(error) => return Err(error),
             }
@@ -236,49 +238,49 @@
         old: &ConfigRoot,
     ) -> Result<AcceptedChange, CommitError> {
         match self.platform.put(ROOT_KIND, ROOT_NAME, version, &root).await {
-            Ok(_) => Ok(AcceptedChange { root, settled: false }),
+            Ok(_) => Ok(AcceptedChange { root, was_read_back: false }),
             Err(PlatformError::Conflict(_)) => {
                 let theirs = self.root().await?.and_then(|object| object.value);
                 Err(CommitError::RaceLost(Box::new((theirs.unwrap_or_default(), old.clone()))))
             }
             Err(error @ PlatformError::Unanswered(_)) => {
-                self.settle(version, root, old, error).await
+                self.read_back(version, root, old, error).await
             }
             Err(error) => Err(CommitError::Platform(error)),
         }
     }
 
-    /// Finds out whether a write whose answer was lost took effect. It is never repeated: the
-    /// version check would refuse the second write, but reading tells more.
-    async fn settle(
+    /// Reads the root until it shows whether a write whose answer was lost took effect. The write itself is not
+    /// retried: the version check would refuse a second one, and a read also shows which change was made instead.
+    async fn read_back(
         &self,
         version: u64,
         root: ConfigRoot,
         old: &ConfigRoot,
         mut error: PlatformError,
     ) -> Result<AcceptedChange, CommitError> {
-        for _ in 0..SETTLE_ATTEMPTS {
+        for _ in 0..READ_BACK_ATTEMPTS {
             match self.root().await {
                 Ok(object) => {
                     let found = object.as_ref().map_or(0, |object| object.version);
                     let theirs = object.and_then(|object| object.value).unwrap_or_default();
                     if theirs.operation == root.operation || theirs.recent.contains(&root.operation)
                     {
-                        return Ok(AcceptedChange { root, settled: true });
+                        return Ok(AcceptedChange { root, was_read_back: true });
                     }
                     if found != version {
                         return Err(CommitError::RaceLost(Box::new((theirs, old.clone()))));
                     }
-                    // Still at the old version: the write may be under way, so look again.
+                    // Still at the old version: the write may be in flight, so read again.
                 }
                 Err(failed) => error = failed,
             }
-            sleep(SETTLE_PAUSE).await;
+            sleep(READ_BACK_PAUSE).await;
         }
-        Err(CommitError::Unsettled { operation: root.operation, error })
+        Err(CommitError::Unconfirmed { operation: root.operation, error })
     }
 
-    // A part that could not be deleted only takes up room.
+    // A failed delete is ignored: the part is unused and only takes up space.
     async fn remove_parts(&self, retired: &[String]) {
         for object in retired {
             let _ = self.platform.delete(PART_KIND, object).await;
--- a/crates/net/src/count.rs
+++ b/crates/net/src/count.rs
@@ -1,16 +1,16 @@
-//! Counts of what is under way.
+//! Counts of operations in progress.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering},
 };
 
-/// Counts one more for as long as it lives, however its holder ends.
+/// Increments a shared count while it exists; dropping it decrements the count, also on cancellation or panic.
 #[derive(Debug)]
 pub struct CountGuard(Arc<AtomicUsize>);
 
 impl CountGuard {
-    /// Counts one more.
+    /// Increments `count`.
     pub fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
         Self(Arc::clone(count))
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP, the platform's object API and the configuration store, shared by the programs.
+//! HTTP client and server, client of the platform's object API, and the configuration store, shared by all
+//! programs.
 
 pub mod backoff;
 pub mod body;
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -9,30 +9,32 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{fmt, net::SocketAddr, time::Duration};
 
-/// Longest wait for an answer other than a watch's.
+/// Time limit of calls other than watches.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a watch waits for a change.
+/// Time after which the platform answers a watch although nothing has changed.
 pub const WATCH_TIME: Duration = Duration::from_secs(20);
 
 /// Why a platform call failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformError {
-    /// The platform refused a conditional update: the object is at another version.
+    /// A conditional update was refused; holds the object's current version.
     Conflict(u64),
     /// There is no such object.
     Missing,
-    /// The platform has had too many calls.
+    /// The platform refused the call with status 429; holds method and path.
     Busy(String),
-    /// No answer: a write may have taken effect all the same.
+    /// No answer, or an unexpected status: a write may have taken effect all the same.
     Unanswered(String),
-    /// The answer makes no sense.
+    /// Data that cannot be encoded or decoded, or parts that do not fit together.
     Malformed(String),
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict(version) => write!(formatter, "platform: object is at {version}"),
+            Self::Conflict(version) => {
+                write!(formatter, "platform: conflict: object is at version {version}")
+            }
             Self::Missing => formatter.write_str("platform: no such object"),
             Self::Busy(step) => write!(formatter, "platform: too many calls: {step}"),
             Self::Unanswered(step) => write!(formatter, "platform: no answer: {step}"),
@@ -54,7 +56,7 @@
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn new(address: SocketAddr, http: HttpClient) -> Self {
         Self { address, http }
     }
@@ -80,8 +82,7 @@
         parse(&self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?)
     }
 
-    /// Writes an object if it is at `version`; 0 means that it must not exist. Returns its new
-    /// version.
+    /// Writes an object if it is at `version`; 0 means that it must not exist. Returns its new version.
     pub async fn put<T: Serialize + Sync>(
         &self,
         kind: &str,
@@ -102,7 +103,7 @@
         self.call(Method::DELETE, &path, Bytes::new(), CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Waits until objects of a kind have changed since `revision`, or until [`WATCH_TIME`] is up.
+    /// Waits until objects of a kind have changed since `revision`, at most for [`WATCH_TIME`].
     pub async fn watch<T: DeserializeOwned>(
         &self,
         kind: &str,
@@ -113,7 +114,7 @@
         parse(&self.call(Method::GET, &path, Bytes::new(), WATCH_TIME + CALL_TIMEOUT).await?)
     }
 
-    /// The platform's list of hosts, which lags.
+    /// Gets the platform's list of hosts, which lags behind their real state.
     pub async fn hosts(&self) -> PlatformResult<Vec<HostRecord>> {
         parse(&self.call(Method::GET, "/v1/hosts", Bytes::new(), CALL_TIMEOUT).await?)
     }
--- a/crates/net/src/platform/records.rs
+++ b/crates/net/src/platform/records.rs
@@ -1,4 +1,4 @@
-//! What the platform sends and holds.
+//! Objects stored on the platform and its answers.
 
 use plantain_core::{
     ids::{RegionName, ZoneName},
@@ -13,89 +13,89 @@
 pub const ROOT_NAME: &str = "root";
 /// Kind of the configuration's parts.
 pub const PART_KIND: &str = "config-parts";
-/// Kind of the agents' slots.
+/// Kind of the agents' slots; each holds a [`SlotRecord`].
 pub const SLOT_KIND: &str = "slots";
-/// Kind of the entries' announcements.
+/// Kind of the entries' announcements; each holds an [`EntryRecord`].
 pub const ENTRY_KIND: &str = "entries";
 
-/// An object.
+/// A versioned object.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ObjectRecord<T> {
-    /// Its name.
+    /// Name, unique within the kind.
     pub name: String,
-    /// Its version; grows with each write to any object.
+    /// Version of the last write; versions increase with each write to any object.
     pub version: u64,
-    /// Its value; `None` if it was deleted.
+    /// Current value; `None` if the object was deleted.
     pub value: Option<T>,
 }
 
 /// Objects of one kind.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ObjectList<T> {
-    /// The objects; for a watch, those that changed.
+    /// The objects; in the answer to a watch, only those that changed.
     pub items: Vec<ObjectRecord<T>>,
-    /// The revision up to which this is true.
+    /// Revision that the list reflects; a watch continues from it.
     pub revision: u64,
 }
 
 /// Answer to a write.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct PutAnswer {
-    /// The object's version now.
+    /// Current version of the object.
     pub version: u64,
 }
 
-/// Kind of what agents tell of requests that were at their targets when these ended.
+/// Kind of the agents' crash reports: which requests ran at a target when it ended.
 pub const CRASH_KIND: &str = "crashes";
 
 /// Kind of the shards of idempotency records.
 pub const RECORD_KIND: &str = "idempotency";
 
-/// State of a host.
+/// State of a host, as set by the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
     /// In service.
     Live,
-    /// To be taken away.
+    /// Will be removed.
     Leaving,
 }
 
 /// A host, as the platform lists it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostRecord {
-    /// Its name; the slot on a target host has the same one.
+    /// Name of the host; the slot on a target host has the same one.
     pub name: String,
-    /// Its region.
+    /// Region of the host.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its state.
+    /// Whether the host stays in service.
     pub state: HostState,
 }
 
-/// An agent's slot: who holds it, and what it announces.
+/// An agent's slot: its holder, and the target that the holder announces.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotRecord {
-    /// Random name of the process that holds it.
+    /// Random name of the process that holds the slot.
     pub holder: String,
-    /// Address of the holder's admin pages.
+    /// Address of the holder's admin HTTP server.
     pub admin: SocketAddr,
-    /// What the slot serves, with the holder's epoch.
+    /// The announced target, with the holder's epoch.
     pub target: TargetRecord,
 }
 
-/// An entry, as it announces itself for operators. No request depends on it.
+/// An entry's announcement of itself, for operators only; no request depends on it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryRecord {
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// Address of its admin pages.
+    /// Address of its admin HTTP server.
     pub admin: SocketAddr,
-    /// Address at which agents ask it for load permits.
+    /// Address at which agents request load permits.
     pub peer: SocketAddr,
-    /// Its region.
+    /// Region of the entry.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: ZoneName,
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,5 +1,5 @@
-//! An HTTP server over hyper: time limits against slow callers, a connection limit, and a graceful
-//! stop that lets requests in flight end.
+//! An HTTP/1 server on hyper with a time limit for request headers, a connection limit, and a graceful stop
+//! that lets requests in flight finish.
 
 use crate::{body::ReplyBody, caller::watched, count::CountGuard};
 use eyre::{Result, WrapErr};
@@ -28,19 +28,19 @@
     time::sleep,
 };
 
-/// Time in which a caller must send the head of a request; a half-open one is closed after it.
+/// Time limit for receiving the headers of a request; the connection is closed after it.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest head of a request.
+/// Read buffer of a connection, in bytes, which limits the size of a request's headers.
 const HEAD_LIMIT: usize = 64 << 10;
-/// Pause after the listener failed, as when the process has no file descriptors left.
+/// Pause after `accept` failed, for instance because the process has no file descriptors left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// An answer to a request.
 pub type HttpReply = Response<ReplyBody>;
 
-/// Answers requests.
+/// Handles the requests of a server's connections.
 pub trait HttpHandler: Clone + Send + Sync + 'static {
-    /// Answers one request of the connection from `peer`.
+    /// Answers one request of a connection from `peer`.
     fn handle(
         &self,
         request: Request<Incoming>,
@@ -51,27 +51,27 @@
 /// Limits of a server.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// Connections held at once; further ones wait in the listen queue.
+    /// Maximum number of open connections; further ones wait in the listen queue.
     pub connections: usize,
 }
 
-/// Binds a listener.
+/// Binds a listener; `purpose` names it in the error.
 pub async fn bind(address: SocketAddr, purpose: &str) -> Result<TcpListener> {
     TcpListener::bind(address).await.wrap_err_with(|| format!("bind {purpose} on {address}"))
 }
 
-/// Serves until `stopping` turns true, then until the requests in flight have ended.
+/// Accepts connections until `stopping` is true, then waits for the requests in flight.
 pub async fn serve<H: HttpHandler>(
     listener: TcpListener,
     handler: H,
     options: ServerOptions,
     mut stopping: watch::Receiver<bool>,
 ) {
-    let places = Arc::new(Semaphore::new(options.connections));
-    let open = Arc::new(AtomicUsize::new(0));
+    let permits = Arc::new(Semaphore::new(options.connections));
+    let open_connections = Arc::new(AtomicUsize::new(0));
     loop {
-        let place = tokio::select! {
-            place = Arc::clone(&places).acquire_owned() => place.expect("never closed"),
+        let permit = tokio::select! {
+            permit = Arc::clone(&permits).acquire_owned() => permit.expect("never closed"),
             _ = stopping.wait_for(|stop| *stop) => break,
         };
         let accepted = tokio::select! {
@@ -82,15 +82,15 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let guard = CountGuard::new(&open);
+        let guard = CountGuard::new(&open_connections);
         let (handler, stopping) = (handler.clone(), stopping.clone());
         tokio::spawn(async move {
             serve_connection(stream, peer, handler, stopping).await;
-            drop((place, guard));
+            drop((permit, guard));
         });
     }
     drop(listener);
-    while open.load(Ordering::Acquire) > 0 {
+    while open_connections.load(Ordering::Acquire) > 0 {
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -101,7 +101,7 @@
     handler: H,
     mut stopping: watch::Receiver<bool>,
 ) {
-    // Small writes of a stream must not wait for the acknowledgement of the last.
+    // Disables Nagle's algorithm: small writes of a stream must not wait for the previous acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let handler = handler.clone();
@@ -123,18 +123,18 @@
     let _ = watch.serve(connection).await;
 }
 
-/// An answer with a JSON body.
+/// Builds an answer with a JSON body.
 pub fn json_reply<T: Serialize>(status: StatusCode, value: &T) -> HttpReply {
     let body = serde_json::to_vec(value).unwrap_or_default();
     typed_reply(status, "application/json", body)
 }
 
-/// An answer with a text body.
+/// Builds an answer with a plain-text body.
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> HttpReply {
     typed_reply(status, "text/plain; charset=utf-8", text.into().into_bytes())
 }
 
-/// An answer with a body of the given type.
+/// Builds an answer with a body of the given content type.
 pub fn typed_reply(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> HttpReply {
     let mut reply = Response::new(ReplyBody::new(body));
     *reply.status_mut() = status;
