--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the commands do.
+//! Implementation of the commands.
 
 pub mod adapters;
 pub mod callers;
@@ -28,19 +28,19 @@
     io::IsTerminal,
 };
 
-/// Differences that are shown to the loser of a race.
+/// Maximum number of differences that a lost race lists.
 const SHOWN_CHANGES: usize = 10;
 
-/// Why a command failed.
+/// Why a command failed; each kind has its own exit status.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The input or the change makes no sense.
+    /// The input or the change is not valid.
     Invalid(String),
-    /// Somebody else changed the configuration meanwhile.
+    /// A concurrent change was made first; this one was not made.
     RaceLost(String),
-    /// Some processes do not have the change yet.
+    /// The change was made, but some processes do not have it yet.
     Behind(String),
-    /// Something did not work.
+    /// The platform, a process or a file failed.
     Failed(String),
 }
 
@@ -58,19 +58,19 @@
     }
 }
 
-/// What every command needs.
+/// Settings and clients shared by the commands that use the platform.
 pub struct CommandContext<'a> {
-    /// Settings.
+    /// Checked settings of the command line.
     pub settings: &'a ControlSettings,
-    /// The platform.
+    /// Client of the platform's object API.
     pub platform: PlatformClient,
-    /// The configuration.
+    /// Reads and changes the configuration.
     pub store: ConfigStore,
-    /// For processes' admin pages.
+    /// Client for the processes' admin pages.
     pub http: HttpClient,
 }
 
-/// Carries out one command.
+/// Runs one command.
 pub async fn carry_out(
     settings: &ControlSettings,
     command: ControlCommand,
@@ -83,7 +83,7 @@
         _ => {}
     }
     let Some(platform) = settings.platform else {
-        return Err(CommandError::Invalid("--platform: needed for this command".into()));
+        return Err(CommandError::Invalid("--platform: required by this command".into()));
     };
     let http = HttpClient::new();
     let platform = PlatformClient::new(platform, http.clone());
@@ -104,12 +104,12 @@
 }
 
 impl CommandContext<'_> {
-    /// The configuration in force.
+    /// Reads the configuration in force.
     pub async fn snapshot(&self) -> Result<ConfigSnapshot, CommandError> {
         Ok(self.store.snapshot(&ConfigSnapshot::empty()).await?)
     }
 
-    /// Makes a change, says so, and waits for it if that is wanted.
+    /// Makes a change, prints its revision, and waits until it is in force everywhere if `--wait` is set.
     pub async fn change(&self, edit: ConfigEdit, summary: &str) -> Result<(), CommandError> {
         let bar = progress_bar();
         let progress = |done: usize, all: usize| {
@@ -143,7 +143,7 @@
         }
         println!("revision {}: {summary}", root.revision);
         if change.was_read_back {
-            println!("the platform's answer was lost; reading back shows that the change is made");
+            println!("the platform's answer was lost; reading back confirmed the change");
         }
     }
 
@@ -154,10 +154,10 @@
         }
     }
 
-    /// Tells the loser of a race who won, and what that changed.
+    /// Describes the concurrent change that won a race: its author, revision and differences.
     async fn explain_race(&self, theirs: ConfigRoot, old: ConfigRoot) -> String {
         let mut text = format!(
-            "not changed: {} came first with revision {} ({}); look at it and try again",
+            "not changed: {} made revision {} first ({}); check its changes and try again",
             theirs.author, theirs.revision, theirs.summary
         );
         let documents = (self.document(old).await, self.document(theirs).await);
--- a/crates/ctl/src/commands/adapters.rs
+++ b/crates/ctl/src/commands/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters and their versions.
+//! Commands on adapters and their versions.
 
 use super::{CommandContext, CommandError};
 use crate::{
@@ -88,7 +88,7 @@
     Ok(versions)
 }
 
-/// Reads and checks all lines before anything is written; the error names the line and the field.
+/// Reads and validates all lines, so that nothing is written if one is invalid; the error names the line and the field.
 fn read_records(file: &Path) -> Result<Vec<AdapterRecord>, CommandError> {
     let text = read_text(file)?;
     let mut names = HashSet::new();
@@ -97,12 +97,12 @@
         if line.trim().is_empty() {
             continue;
         }
-        let place = format!("{} line {}", file.display(), index + 1);
+        let position = format!("{} line {}", file.display(), index + 1);
         let record: AdapterRecord = serde_json::from_str(line)
-            .map_err(|error| CommandError::Invalid(format!("{place}: {error}")))?;
-        record.check().map_err(|error| CommandError::Invalid(format!("{place}: {error}")))?;
+            .map_err(|error| CommandError::Invalid(format!("{position}: {error}")))?;
+        record.check().map_err(|error| CommandError::Invalid(format!("{position}: {error}")))?;
         if !names.insert(record.name.clone()) {
-            let message = format!("{place}: name: adapter `{}` is listed twice", record.name);
+            let message = format!("{position}: name: adapter `{}` is listed twice", record.name);
             return Err(CommandError::Invalid(message));
         }
         records.push(record);
@@ -113,7 +113,7 @@
     Ok(records)
 }
 
-/// Reads a file, or standard input for `-`.
+/// Reads a file, or standard input if `file` is `-`.
 pub(super) fn read_text(file: &Path) -> Result<String, CommandError> {
     let mut text = String::new();
     let result = if file == Path::new("-") {
--- a/crates/ctl/src/commands/callers.rs
+++ b/crates/ctl/src/commands/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and their keys.
+//! Commands on callers and their keys.
 
 use super::{CommandContext, CommandError, adapters::read_text};
 use crate::{
@@ -11,8 +11,8 @@
 };
 use sha2::{Digest, Sha256};
 
-/// Shortest key that is accepted.
-const KEY_FLOOR: usize = 16;
+/// Minimum length of a key, in bytes.
+const MIN_KEY_LENGTH: usize = 16;
 
 impl TableRow for CallerRecord {
     const HEADS: &'static [&'static str] = &["CALLER", "SHARE", "HIGHEST PRIORITY"];
@@ -30,8 +30,8 @@
         CallerCommand::Put { key_file, share, highest_priority, name } => {
             let text = read_text(&key_file)?;
             let key = text.trim();
-            if key.len() < KEY_FLOOR {
-                let message = format!("--key-file: a key has at least {KEY_FLOOR} characters");
+            if key.len() < MIN_KEY_LENGTH {
+                let message = format!("--key-file: a key needs at least {MIN_KEY_LENGTH} bytes");
                 return Err(CommandError::Invalid(message));
             }
             let highest_priority = Priority::parse(&highest_priority)
--- a/crates/ctl/src/commands/customers.rs
+++ b/crates/ctl/src/commands/customers.rs
@@ -1,4 +1,4 @@
-//! What customers use of their limits, summed up over routers' metrics pages.
+//! Customers' usage of their limits, summed over routers' metrics pages.
 
 use super::CommandError;
 use crate::output::{self, TableRow};
@@ -6,25 +6,25 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Longest wait for a router's page.
-const PAGE_LIMIT: Duration = Duration::from_secs(3);
+/// Time limit for reading a router's metrics page.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One customer over all routers that were asked.
+/// One customer's usage, summed over the routers that were queried.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct CustomerRow {
-    /// Its name.
+    /// Name of the customer.
     pub customer: String,
-    /// Units a second that it may use.
+    /// Limit in units per second; 0 if no router reports one.
     pub rate: f64,
-    /// Units that its calls used within the window.
+    /// Units used within the window, summed over the routers.
     pub used: f64,
-    /// Units left over all routers, as the router last told says.
+    /// Units left for all routers together, as in the most recent value that a router received.
     pub left: f64,
-    /// Seconds since that was told; the youngest word counts.
+    /// Age of `left` in seconds; `None` if no router has received a value.
     pub age_s: Option<f64>,
-    /// Units of calls that were taken since the routers started.
+    /// Units of admitted calls since the routers started.
     pub granted: f64,
-    /// Units of calls that were refused since the routers started.
+    /// Units of refused calls since the routers started.
     pub refused: f64,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Sums up metrics pages of routers.
+/// Sums the customers' metrics of several routers' pages. `left` is taken from the most recent report.
 pub fn sum_customers<'a>(pages: impl Iterator<Item = &'a str>) -> Vec<CustomerRow> {
     let mut rows: BTreeMap<String, CustomerRow> = BTreeMap::new();
     for page in pages {
@@ -81,7 +81,7 @@
     rows.into_values().collect()
 }
 
-/// Splits a line of a metrics page into name, labels and value.
+/// Splits a line of a metrics page into name, labels and value; `None` if it is no sample with labels.
 fn parse_line(line: &str) -> Option<(&str, &str, f64)> {
     let (head, value) = line.rsplit_once(' ')?;
     let (name, labels) = head.split_once('{')?;
@@ -93,13 +93,13 @@
     labels[start..].split('"').next()
 }
 
-/// Prints the table for the routers at these metrics addresses.
+/// Prints the table of customers for the routers at these metrics addresses; fails if one did not answer.
 pub async fn carry_out(routers: &[SocketAddr], json: bool) -> Result<(), CommandError> {
     let client = HttpClient::new();
     let (mut pages, mut unreachable) = (Vec::new(), Vec::new());
     for router in routers {
         let uri = url(*router, "/metrics");
-        match client.get_text(&uri, PAGE_LIMIT).await {
+        match client.get_text(&uri, PAGE_TIMEOUT).await {
             Ok(page) => pages.push(page),
             Err(error) => unreachable.push(format!("{router}: {error:#}")),
         }
@@ -109,5 +109,5 @@
     if unreachable.is_empty() {
         return Ok(());
     }
-    Err(CommandError::Failed(format!("without {}", unreachable.join(", "))))
+    Err(CommandError::Failed(format!("no metrics from {}", unreachable.join(", "))))
 }
--- a/crates/ctl/src/commands/losses.rs
+++ b/crates/ctl/src/commands/losses.rs
@@ -1,4 +1,4 @@
-//! Where routers' calls were lost or late, summed up from their logs.
+//! Counts of late and lost calls by cause, from routers' logs.
 
 use super::CommandError;
 use crate::output::{self, TableRow};
@@ -10,10 +10,10 @@
     path::PathBuf,
 };
 
-/// Step of the lines that are read.
+/// Value of `step` in the log lines about calls.
 const CALL_STEP: &str = "call";
 
-/// What a router's line says of a call that ended. Routers that do not tell the objective cannot be summed up.
+/// A router's log line about a call that ended. Lines without the objective are skipped.
 #[derive(Debug, Deserialize)]
 struct CallLine {
     step: String,
@@ -26,29 +26,29 @@
     sends: u32,
 }
 
-/// What became of a call, and what is to blame.
+/// Outcome of a call, and the cause if it was late or lost.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LossCause {
-    /// Its first byte came within the objective.
+    /// The first byte came within the objective.
     InTime,
-    /// Late, and most of the time until the first byte went by before its adapter was there.
+    /// Late; the wait for the adapter took at least half of the time to the first byte.
     LoadWait,
-    /// Late, and most of that time went by at the target.
+    /// Late; the wait for the adapter took less than half of that time.
     Target,
-    /// Its target answered with a failure.
+    /// The target answered with an error.
     TargetFailed,
-    /// Its stream was cut after its first byte.
+    /// The stream broke after its first byte.
     BrokenOff,
-    /// Its target went silent or broke off before an answer.
+    /// The target stopped responding, or closed the connection before it answered.
     Unknown,
-    /// Turned away; it was not run.
+    /// Refused without having been run.
     Refused,
-    /// Its caller went away while it waited to be sent.
+    /// The caller disconnected before the call was sent to a target.
     LeftWaiting,
-    /// Its caller went away after it was sent.
+    /// The caller disconnected after the call was sent to a target.
     LeftRunning,
-    /// The request itself was wrong.
+    /// The request was invalid.
     Rejected,
 }
 
@@ -95,16 +95,16 @@
     }
 }
 
-/// Calls with one cause.
+/// Sums over the calls with one cause.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct LossRow {
-    /// The cause.
+    /// Cause that the calls share.
     pub cause: LossCause,
-    /// Calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Milliseconds beyond the objective until the first byte, of all of them.
+    /// Total milliseconds by which first bytes missed the objective.
     pub late_ms: u64,
-    /// Milliseconds for which they waited for adapters.
+    /// Total milliseconds of waiting for adapters.
     pub load_wait_ms: u64,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// Sums up the lines of calls; other lines, and text before a line's JSON, are passed over.
+/// Sums the log lines about calls by cause. Other lines, and any text before a line's JSON, are skipped.
 pub fn sum_losses(lines: impl Iterator<Item = String>) -> Vec<LossRow> {
     let mut rows: BTreeMap<LossCause, LossRow> = BTreeMap::new();
     for line in lines.filter_map(|text| parse_line(&text)) {
@@ -141,7 +141,7 @@
     (line.step == CALL_STEP).then_some(line)
 }
 
-/// Prints the table for the logs in files, or on standard input if there are none.
+/// Prints the table of causes for the given log files, or for standard input if there are none.
 pub fn carry_out(files: &[PathBuf], json: bool) -> Result<(), CommandError> {
     let rows = if files.is_empty() {
         sum_losses(read_lines(io::stdin().lock()))
@@ -163,7 +163,7 @@
 }
 
 fn read_lines(reader: impl BufRead) -> impl Iterator<Item = String> {
-    // A log may hold bytes of others that are no text.
+    // Other programs may write bytes to the log that are not UTF-8; they are replaced.
     reader
         .split(b'\n')
         .map_while(Result::ok)
--- a/crates/ctl/src/commands/presets.rs
+++ b/crates/ctl/src/commands/presets.rs
@@ -1,4 +1,4 @@
-//! Presets, and which of them is in force.
+//! Commands on presets.
 
 use super::{CommandContext, CommandError};
 use crate::{
@@ -11,7 +11,7 @@
 };
 use serde::Serialize;
 
-/// A preset and whether it is in force.
+/// A preset, with a mark on the one in force.
 #[derive(Serialize)]
 struct PresetRow {
     #[serde(flatten)]
--- a/crates/ctl/src/commands/report.rs
+++ b/crates/ctl/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn.
+//! Report on the burn rates of error budgets, summed over the entries' status pages.
 
 mod page;
 
@@ -13,12 +13,12 @@
 use serde_json::Value;
 use std::{collections::BTreeMap, fs, path::Path, time::Duration};
 
-/// Longest wait for an entry's page.
+/// Time limit for reading an entry's status page.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Names shown in each list.
+/// Maximum number of names in each list.
 const SHOWN_NAMES: usize = 10;
 
-/// One class over one window.
+/// Counts and burn rates of one class of requests over one window.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct BurnRow {
     window_seconds: u64,
@@ -27,7 +27,7 @@
     burn: BurnRates,
 }
 
-/// The whole report.
+/// Sums over all entries that answered.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct FleetReport {
     objectives: ServiceObjectives,
--- a/crates/ctl/src/commands/report/page.rs
+++ b/crates/ctl/src/commands/report/page.rs
@@ -1,18 +1,18 @@
-//! The report as one HTML page that needs nothing else.
+//! The report as a self-contained HTML page.
 
 use super::{BurnRow, FleetReport};
 use std::fmt::Write;
 
-/// Width of the longest bar, in pixels.
+/// Maximum width of a bar, in pixels.
 const BAR_WIDTH: f64 = 150.0;
-/// Burn at which a bar is full.
+/// Burn rate at which a bar has its maximum width.
 const FULL_BURN: f64 = 10.0;
 
 const STYLE: &str = "body{font:15px sans-serif;margin:2em;color:#222}table{border-collapse:collapse}\
 td,th{padding:4px 12px;text-align:right;border-bottom:1px solid #ddd}td:nth-child(2),\
 th:nth-child(2){text-align:left}.note{color:#a00}";
 
-/// Renders the page.
+/// Renders the report as HTML.
 pub(super) fn render(report: &FleetReport) -> String {
     let mut page = String::new();
     let _ = write!(
--- a/crates/ctl/src/commands/services.rs
+++ b/crates/ctl/src/commands/services.rs
@@ -1,4 +1,4 @@
-//! Plain services and their routes.
+//! Commands on plain services and their routes.
 
 use super::{CommandContext, CommandError};
 use crate::{
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! The processes, what they report, and whether a change is in force everywhere.
+//! Status of all processes, and the wait until a change is in force in each of them.
 
 use super::{CommandContext, CommandError};
 use crate::output::{self, TableRow};
@@ -15,14 +15,14 @@
 };
 use tokio::{task::JoinSet, time::sleep};
 
-/// Longest wait for a process's status page.
+/// Time limit for reading a process's status page.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between looks while a change spreads.
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
-/// Processes that a message names before it only counts the rest.
-const NAMED_LIMIT: usize = 10;
+/// Interval at which processes are queried while a change propagates.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of processes that a message names; it only counts the others.
+const MAX_NAMED_PROCESSES: usize = 10;
 
-/// A process, as announced on the platform and as it reports itself.
+/// A process: its announcement on the platform, and its own status page.
 #[derive(Clone, Debug, Serialize)]
 struct ProcessRow {
     role: &'static str,
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Waits until every process that is not leaving has a revision, and names those that have not.
+/// Waits until every process that is not draining has `revision`; on timeout, the error names the others.
 pub(super) async fn wait_in_force(
     context: &CommandContext<'_>,
     revision: u64,
@@ -120,15 +120,16 @@
             return Ok(());
         }
         if started.elapsed() >= limit {
-            let more = behind.len().saturating_sub(NAMED_LIMIT);
-            let mut text = behind.iter().take(NAMED_LIMIT).cloned().collect::<Vec<_>>().join(", ");
+            let more = behind.len().saturating_sub(MAX_NAMED_PROCESSES);
+            let mut text =
+                behind.iter().take(MAX_NAMED_PROCESSES).cloned().collect::<Vec<_>>().join(", ");
             if more > 0 {
                 let _ = write!(text, " and {more} more");
             }
-            let message = format!("revision {revision} is made, but not in force in {text}");
+            let message = format!("revision {revision} was made, but is not in force in {text}");
             return Err(CommandError::Behind(message));
         }
-        sleep(WAIT_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -147,7 +148,7 @@
         queries.spawn(async move { (index, http.get_json::<Value>(&uri, STATUS_TIMEOUT).await) });
     }
     while let Some(Ok((index, answer))) = queries.join_next().await {
-        // Another process may have taken over the address since; it must not be mixed up.
+        // Another process may use the address by now; its status must not be attributed to this one.
         let name = rows[index].name.clone();
         let is_same_process =
             |value: &Value| value.get("name").and_then(Value::as_str) == Some(&*name);
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's command-line tool of plantainroute.
+//! Command-line tool for operators of plantainroute.
 
 pub mod commands;
 pub mod options;
@@ -9,14 +9,14 @@
 use std::process::ExitCode;
 use tokio::runtime::Builder;
 
-/// Exit status of a wrong command line or file.
+/// Exit status of an invalid command line, file or change.
 const USAGE_STATUS: u8 = 2;
-/// Exit status of a change that somebody else's change came before.
+/// Exit status of a change that was not made because a concurrent one was made first.
 const RACE_STATUS: u8 = 3;
-/// Exit status of a wait that ended before all processes had the change.
+/// Exit status of a `--wait` that timed out before all processes had the change.
 const BEHIND_STATUS: u8 = 4;
 
-/// Reads the command line and carries it out.
+/// Parses the command line and runs the command.
 pub fn run() -> ExitCode {
     let arguments = match ControlArguments::read() {
         Ok(arguments) => arguments,
--- a/crates/ctl/src/options.rs
+++ b/crates/ctl/src/options.rs
@@ -1,4 +1,4 @@
-//! Arguments, and the checked settings made from them.
+//! Command-line arguments, and the validated settings built from them.
 
 pub mod arguments;
 
@@ -8,21 +8,21 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-/// Checked settings of every command.
+/// Validated settings of all commands.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// The platform's address, where the command needs it.
+    /// Address of the platform's object API; `None` only for commands that do not use it.
     pub platform: Option<SocketAddr>,
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of tables.
     pub json: bool,
-    /// Who makes a change.
+    /// Name recorded with a change.
     pub author: String,
-    /// How long to wait until a change is in force everywhere.
+    /// Time limit for waiting until a change is in force everywhere; `None` does not wait.
     pub wait: Option<Duration>,
 }
 
 impl ControlSettings {
-    /// Checks arguments; the error names the flag.
+    /// Validates arguments; the error names the flag.
     pub fn new(arguments: &ControlArguments) -> Result<Self, String> {
         let author = arguments.author.trim();
         if author.is_empty() || author.chars().any(char::is_control) {
--- a/crates/ctl/src/options/arguments.rs
+++ b/crates/ctl/src/options/arguments.rs
@@ -1,9 +1,9 @@
-//! The command line, as written.
+//! Definition of the command line.
 
 use bpaf::{Args, Bpaf, ParseFailure};
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
-/// Width of help texts.
+/// Width of help texts, in columns.
 const HELP_WIDTH: usize = 100;
 
 /// Changes and shows the configuration of plantainroute.
@@ -13,16 +13,16 @@
     /// Address of the platform's object API; not needed for losses and customers
     #[bpaf(long, argument("ADDR"), env("PLANTAIN_PLATFORM"))]
     pub platform: Option<SocketAddr>,
-    /// Prints JSON in place of tables
+    /// Prints JSON instead of tables
     #[bpaf(long, switch)]
     pub json: bool,
-    /// Who makes the change, shown to whoever loses a race against it
+    /// Author recorded with a change; shown to operators whose concurrent change fails
     #[bpaf(long, argument("NAME"), env("USER"), fallback("unknown".into()))]
     pub author: String,
-    /// Waits so many seconds until a change is in force everywhere, and names those behind
+    /// Waits up to this many seconds until a change is in force everywhere; on timeout, names the processes without it
     #[bpaf(long, argument("SECONDS"))]
     pub wait: Option<f64>,
-    /// What to do.
+    /// The command.
     #[bpaf(external(control_command))]
     pub command: ControlCommand,
 }
@@ -31,33 +31,33 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(control_command))]
 pub enum ControlCommand {
-    /// Adapters and their versions
+    /// Manages adapters and their versions
     #[bpaf(command("adapter"))]
     Adapter(#[bpaf(external(adapter_command))] AdapterCommand),
-    /// Callers and their keys
+    /// Manages callers and their keys
     #[bpaf(command("caller"))]
     Caller(#[bpaf(external(caller_command))] CallerCommand),
-    /// Plain services and their routes
+    /// Manages plain services and their routes
     #[bpaf(command("service"))]
     Service(#[bpaf(external(service_command))] ServiceCommand),
-    /// Presets, and which of them is in force
+    /// Manages presets and selects the one in force
     #[bpaf(command("preset"))]
     Preset(#[bpaf(external(preset_command))] PresetCommand),
-    /// Shows how fast each class of requests uses up its error budget
+    /// Shows the error budget burn rate of each class of requests
     #[bpaf(command("report"))]
     Report {
-        /// Writes the report as one HTML page too
+        /// Also writes the report as an HTML page
         #[bpaf(argument("FILE"))]
         html: Option<PathBuf>,
     },
-    /// Sums up from routers' logs where calls were late or lost, and why
+    /// Counts late and lost calls by cause, from routers' logs
     #[bpaf(command("losses"))]
     Losses {
-        /// Logs; standard input if there are none
+        /// Log files; standard input if none are given
         #[bpaf(positional("FILE"), many)]
         files: Vec<PathBuf>,
     },
-    /// Shows what customers use of their limits, from routers' metrics pages
+    /// Shows customers' usage of their limits, from routers' metrics pages
     #[bpaf(command("customers"))]
     Customers {
         /// Metrics addresses of routers
@@ -69,30 +69,30 @@
     Status,
 }
 
-/// What to do with adapters.
+/// Commands on adapters.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(adapter_command))]
 pub enum AdapterCommand {
-    /// Adds an adapter, or versions to one that exists
+    /// Adds an adapter, or adds versions to an existing one
     #[bpaf(command("add"))]
     Add {
-        /// Base model that it extends
+        /// Base model of the adapter
         #[bpaf(long, argument("NAME"))]
         base: String,
-        /// Versions, such as 1,2,3
+        /// Comma-separated versions, such as 1,2,3
         #[bpaf(long, argument("LIST"))]
         versions: String,
         /// Version used when a request names none (default: the highest)
         #[bpaf(long, argument("VERSION"))]
         current: Option<u32>,
-        /// Requests must never run twice
+        /// Marks requests as not idempotent: they must never run twice
         #[bpaf(long("non-idempotent"), switch)]
         non_idempotent: bool,
         /// Name of the adapter
         #[bpaf(positional("ADAPTER"))]
         name: String,
     },
-    /// Adds all adapters of a file: one JSON object a line, such as
+    /// Adds all adapters of a file with one JSON object per line, such as
     /// {"name":"house-0042","base":"scribe","versions":[1,2],"current":2}
     #[bpaf(command("import"))]
     Import {
@@ -100,7 +100,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Makes a version the one used when a request names none
+    /// Sets the version used when a request names none
     #[bpaf(command("roll-out"))]
     RollOut {
         /// Name of the adapter
@@ -110,10 +110,10 @@
         #[bpaf(positional("VERSION"))]
         version: u32,
     },
-    /// Removes one version, or the whole adapter
+    /// Removes one version, or an adapter with all its versions
     #[bpaf(command("retire"))]
     Retire {
-        /// Only this version
+        /// Removes only this version
         #[bpaf(long, argument("VERSION"))]
         version: Option<u32>,
         /// Name of the adapter
@@ -123,27 +123,27 @@
     /// Lists adapters
     #[bpaf(command("list"))]
     List {
-        /// Only those whose names start so
+        /// Lists only adapters whose names start with this text
         #[bpaf(long, argument("TEXT"), fallback(String::new()))]
         prefix: String,
     },
 }
 
-/// What to do with callers.
+/// Commands on callers.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(caller_command))]
 pub enum CallerCommand {
-    /// Adds or replaces a caller; its key comes from a file or standard input, never the command
-    /// line, and only its hash is kept
+    /// Adds or replaces a caller; its key is read from a file or standard input, never from the
+    /// command line, and only its hash is stored
     #[bpaf(command("put"))]
     Put {
         /// File with the key, or - for standard input
         #[bpaf(long("key-file"), argument("FILE"))]
         key_file: PathBuf,
-        /// Weight against other callers when targets are full (default: 1)
+        /// Weight relative to other callers when targets are saturated (default: 1)
         #[bpaf(long, argument("NUMBER"), fallback(1))]
         share: u32,
-        /// Most important priority that it may ask for (default: upper)
+        /// Highest priority that the caller may request (default: upper)
         #[bpaf(long("highest-priority"), argument("PRIORITY"), fallback("upper".into()))]
         highest_priority: String,
         /// Name of the caller
@@ -162,15 +162,15 @@
     List,
 }
 
-/// What to do with services.
+/// Commands on services.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(service_command))]
 pub enum ServiceCommand {
     /// Adds or replaces a service
     #[bpaf(command("put"))]
     Put {
-        /// A rule, such as "POST /stamps once" or "* /search repeat"; the first that matches
-        /// counts, and without one GET, HEAD, OPTIONS, PUT and DELETE may be repeated
+        /// A rule, such as "POST /stamps once" or "* /search repeat"; the first matching rule
+        /// applies, and if none matches, GET, HEAD, OPTIONS, PUT and DELETE may be retried
         #[bpaf(long("route"), argument("RULE"))]
         routes: Vec<String>,
         /// Name of the service
@@ -189,11 +189,11 @@
     List,
 }
 
-/// What to do with presets.
+/// Commands on presets.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(preset_command))]
 pub enum PresetCommand {
-    /// Adds a preset, or changes the given settings of one that exists
+    /// Adds a preset, or changes the given settings of an existing one
     #[bpaf(command("put"))]
     Put(#[bpaf(external(preset_fields))] PresetFields),
     /// Removes a preset that is not in force
@@ -225,31 +225,31 @@
 /// Settings of a preset.
 #[derive(Clone, Debug, Bpaf)]
 pub struct PresetFields {
-    /// Weight of the expected load stall in the choice of a target
+    /// Weight of the expected load stall when a target is selected
     #[bpaf(long("stall-weight"), argument("NUMBER"))]
     pub stall_weight: Option<f64>,
-    /// Weight of filling batches in the choice of a target
+    /// Weight of batch fill when a target is selected
     #[bpaf(long("batch-weight"), argument("NUMBER"))]
     pub batch_weight: Option<f64>,
-    /// Requests that may wait at one target
+    /// Maximum number of requests that wait at one target
     #[bpaf(long("queue-limit"), argument("COUNT"))]
     pub queue_limit: Option<u32>,
     /// Deadline of a request that names none, in milliseconds
     #[bpaf(long("deadline-ms"), argument("MS"))]
     pub deadline_ms: Option<u64>,
-    /// Retries allowed for each answered request
+    /// Maximum ratio of retries to answered requests
     #[bpaf(long("retry-ratio"), argument("NUMBER"))]
     pub retry_ratio: Option<f64>,
-    /// Objective: share of requests that are answered whole
+    /// Objective: share of requests that are answered completely
     #[bpaf(argument("SHARE"))]
     pub availability: Option<f64>,
-    /// Objective: time to the first byte for 95 in 100, in milliseconds
+    /// Objective: time to first byte at the 95th percentile, in milliseconds
     #[bpaf(long("first-byte-ms"), argument("MS"))]
     pub first_byte_ms: Option<u64>,
-    /// Objective: load stall for 95 in 100, in milliseconds
+    /// Objective: load stall at the 95th percentile, in milliseconds
     #[bpaf(long("load-stall-ms"), argument("MS"))]
     pub load_stall_ms: Option<u64>,
-    /// Least important priority that is admitted
+    /// Lowest priority that is admitted
     #[bpaf(long("lowest-priority"), argument("PRIORITY"))]
     pub lowest_priority: Option<String>,
     /// Name of the preset
@@ -258,7 +258,7 @@
 }
 
 impl ControlArguments {
-    /// Reads the command line. On an error, one line goes to stderr and the exit status is 2.
+    /// Parses the command line. On an error, prints one line to standard error and returns exit status 2.
     pub fn read() -> Result<Self, ExitCode> {
         control_arguments().run_inner(Args::current_args()).map_err(|failure| match failure {
             ParseFailure::Stderr(text) => {
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,18 +1,18 @@
-//! Tables for people, JSON for programs.
+//! Output as a table or as JSON.
 
 use comfy_table::{Table, presets};
 use serde::Serialize;
 
-/// A list that can be printed both ways.
+/// A row of a list that is printed as a table or as JSON.
 pub trait TableRow: Serialize {
-    /// Column heads.
+    /// Column headings.
     const HEADS: &'static [&'static str];
 
-    /// The row's cells.
+    /// The row's cells, in the order of the headings.
     fn cells(&self) -> Vec<String>;
 }
 
-/// Prints rows.
+/// Prints rows to standard output, as a JSON array if `json` is set.
 pub fn print_rows<T: TableRow>(rows: &[T], json: bool) {
     if json {
         print_json(&rows);
@@ -27,7 +27,7 @@
     println!("{}", table.trim_fmt());
 }
 
-/// Prints a value as JSON.
+/// Prints a value to standard output as indented JSON.
 pub fn print_json<T: Serialize>(value: &T) {
     println!("{}", serde_json::to_string_pretty(value).unwrap_or_default());
 }
--- a/crates/ctl/tests/control/customers.rs
+++ b/crates/ctl/tests/control/customers.rs
@@ -1,4 +1,4 @@
-//! The table of customers from routers' metrics pages.
+//! Sums over routers' metrics pages.
 
 use plantainctl::commands::customers::{CustomerRow, sum_customers};
 
@@ -20,10 +20,10 @@
 a line that is none
 "#;
 
-/// An operator asks what a customer uses while its calls come in at two routers. Use is summed up; what is left is
-/// the youngest word, since each router hears of the same bucket.
+/// A customer's calls arrive at two routers. Usage is summed. The units left are not: each router reports the same
+/// bucket, so the most recent report is taken.
 #[test]
-fn use_is_summed_up_and_the_youngest_word_counts() {
+fn usage_is_summed_and_the_most_recent_report_of_units_left_is_taken() {
     let rows = sum_customers([FIRST, SECOND].into_iter());
     let temple = CustomerRow {
         customer: "temple".into(),
--- a/crates/ctl/tests/control/losses.rs
+++ b/crates/ctl/tests/control/losses.rs
@@ -1,4 +1,4 @@
-//! The table of losses from routers' logs.
+//! Sums over routers' logs.
 
 use plantainctl::commands::losses::{LossCause, sum_losses};
 
@@ -59,9 +59,9 @@
     }
 }
 
-/// Logs hold lines of other steps, of other programs, and cut ones; none of them may end the count.
+/// Logs contain lines of other steps, lines of other programs, and truncated lines. None of them may end the sums.
 #[test]
-fn other_lines_are_passed_over() {
+fn other_lines_are_skipped() {
     let good = line(r#""outcome":"served","first_byte_ms":900,"load_wait_ms":600"#);
     let other = r#"{"step":"order","outcome":"served"}"#.to_owned();
     let cut = good[..good.len() / 2].to_owned();
--- a/crates/ctl/tests/control/main.rs
+++ b/crates/ctl/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the command-line tool by itself.
+//! Tests of the command-line tool without a cluster.
 
 mod customers;
 mod losses;
@@ -16,35 +16,39 @@
 struct BadCommand {
     arguments: &'static [&'static str],
     status: i32,
-    says: &'static str,
+    message: &'static str,
 }
 
 #[test]
-fn wrong_commands_say_what_is_wrong() {
+fn invalid_commands_name_the_fault() {
     let cases = [
-        BadCommand { arguments: &[], status: 2, says: "COMMAND" },
-        BadCommand { arguments: &["adapter", "fly"], status: 2, says: "fly" },
-        BadCommand { arguments: &["--wait", "0", "status"], status: 2, says: "--wait" },
-        BadCommand { arguments: &["--author", " ", "status"], status: 2, says: "--author" },
+        BadCommand { arguments: &[], status: 2, message: "COMMAND" },
+        BadCommand { arguments: &["adapter", "fly"], status: 2, message: "fly" },
+        BadCommand { arguments: &["--wait", "0", "status"], status: 2, message: "--wait" },
+        BadCommand { arguments: &["--author", " ", "status"], status: 2, message: "--author" },
         BadCommand {
             arguments: &["adapter", "add", "--base", "b", "--versions", "1,x", "a"],
             status: 2,
-            says: "--versions",
+            message: "--versions",
+        },
+        BadCommand {
+            arguments: &["adapter", "import", "/nowhere"],
+            status: 2,
+            message: "/nowhere",
         },
-        BadCommand { arguments: &["adapter", "import", "/nowhere"], status: 2, says: "/nowhere" },
         BadCommand {
             arguments: &["service", "put", "--route", "POST stamps", "desk"],
             status: 2,
-            says: "--route",
+            message: "--route",
         },
-        BadCommand { arguments: &["status"], status: 1, says: "platform" },
-        BadCommand { arguments: &["losses", "/nowhere"], status: 2, says: "/nowhere" },
-        BadCommand { arguments: &["losses", "/dev/null"], status: 2, says: "no line" },
+        BadCommand { arguments: &["status"], status: 1, message: "platform" },
+        BadCommand { arguments: &["losses", "/nowhere"], status: 2, message: "/nowhere" },
+        BadCommand { arguments: &["losses", "/dev/null"], status: 2, message: "no line" },
     ];
     for case in cases {
         let output = run(case.arguments);
         let error = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(case.status), "{:?}: {error}", case.arguments);
-        assert!(error.contains(case.says), "{:?}: {error}", case.arguments);
+        assert!(error.contains(case.message), "{:?}: {error}", case.arguments);
     }
 }
