--- a/crates/ctl/src/commands/adapters.rs
+++ b/crates/ctl/src/commands/adapters.rs
@@ -18,13 +18,13 @@
 
     fn cells(&self) -> Vec<String> {
         let versions = self.versions.iter().map(u32::to_string).collect::<Vec<_>>().join(",");
-        let repeat = if self.idempotent { "yes" } else { "never" };
+        let retry = if self.idempotent { "yes" } else { "never" };
         vec![
             self.name.to_string(),
             self.base.to_string(),
             self.current.to_string(),
             versions,
-            repeat.to_owned(),
+            retry.to_owned(),
         ]
     }
 }
--- a/crates/ctl/src/commands/losses.rs
+++ b/crates/ctl/src/commands/losses.rs
@@ -34,7 +34,7 @@
     InTime,
     /// Late; the wait for the adapter took at least half of the time to the first byte.
     LoadWait,
-    /// Late; the wait for the adapter took less than half of that time.
+    /// Late; the wait for the adapter took less than half of the time to the first byte.
     Target,
     /// The target answered with an error.
     TargetFailed,
--- a/crates/ctl/src/commands/services.rs
+++ b/crates/ctl/src/commands/services.rs
@@ -17,8 +17,8 @@
 }
 
 fn describe_route(route: &RouteRecord) -> String {
-    let repeat = if route.idempotent { "repeat" } else { "once" };
-    format!("{} {} {repeat}", route.method, route.path_prefix)
+    let retry = if route.idempotent { "repeat" } else { "once" };
+    format!("{} {} {retry}", route.method, route.path_prefix)
 }
 
 pub(super) async fn carry_out(
--- a/crates/ctl/src/options/arguments.rs
+++ b/crates/ctl/src/options/arguments.rs
@@ -93,7 +93,7 @@
         name: String,
     },
     /// Adds all adapters of a file with one JSON object per line, such as
-    /// {"name":"house-0042","base":"scribe","versions":[1,2],"current":2}
+    /// `{"name":"house-0042","base":"scribe","versions":[1,2],"current":2}`
     #[bpaf(command("import"))]
     Import {
         /// The file, or - for standard input
--- a/crates/net/src/caller.rs
+++ b/crates/net/src/caller.rs
@@ -22,7 +22,7 @@
     time::{Sleep, sleep},
 };
 
-/// Maximum number of bytes read ahead of the server; several requests of usual size.
+/// Buffered bytes at which reading ahead stops; several requests of usual size.
 const READ_AHEAD_LIMIT: usize = 64 << 10;
 /// Bytes per read.
 const READ_SIZE: usize = 4 << 10;
