--- a/crates/daemon/src/loader.rs
+++ b/crates/daemon/src/loader.rs
@@ -54,14 +54,14 @@
         let settings = reload::follow(site, logger.clone())?;
         info!(logger, "loader listens"; "step" => "start", "listen" => %address,
             "engine" => %settings.borrow().engine);
-        let duty = LoaderDuty::new(settings, socket, logger.clone());
-        duty.run(stopping).await;
+        let runner = LoaderRunner::new(settings, socket, logger.clone());
+        runner.run(stopping).await;
         info!(logger, "loader ends"; "step" => "stop");
         Ok(())
     })
 }
 
-struct LoaderDuty {
+struct LoaderRunner {
     machine: LoaderMachine,
     registry: PresenceRegistry,
     meter: UsageMeter,
@@ -75,14 +75,14 @@
 }
 
 /// Result of a step: the engine's answer, or the end of a wait.
-enum StepEnd {
+enum StepResult {
     Reported(Result<EngineReport>),
     Identified(Result<InstanceId>),
     Ordered(EngineOrder, OrderAnswer, Option<String>),
     Waited,
 }
 
-impl LoaderDuty {
+impl LoaderRunner {
     fn new(settings: watch::Receiver<Arc<LoaderFile>>, socket: UdpSocket, logger: Logger) -> Self {
         Self {
             machine: LoaderMachine::new(rand::random()),
@@ -126,7 +126,7 @@
                     }
                     if is_wait {
                         // New load requests may change the next step.
-                        break StepEnd::Waited;
+                        break StepResult::Waited;
                     }
                     self.send_reports();
                 }
@@ -136,21 +136,21 @@
     }
 
     /// Performs a step at the engine; the future does not borrow `self`.
-    fn engine_call(&self, step: LoaderStep) -> impl Future<Output = StepEnd> + use<> {
+    fn engine_call(&self, step: LoaderStep) -> impl Future<Output = StepResult> + use<> {
         let engine = Rc::clone(&self.engine);
         let address = self.settings.borrow().engine;
         let holder = Arc::clone(&self.settings.borrow().name);
         async move {
             match step {
-                LoaderStep::Poll => StepEnd::Reported(engine.report(address).await),
-                LoaderStep::Identify => StepEnd::Identified(engine.identify(address).await),
+                LoaderStep::Poll => StepResult::Reported(engine.report(address).await),
+                LoaderStep::Identify => StepResult::Identified(engine.identify(address).await),
                 LoaderStep::Order(order) => {
                     let (answer, detail) = engine.order(address, &order, &holder).await;
-                    StepEnd::Ordered(order, answer, detail)
+                    StepResult::Ordered(order, answer, detail)
                 }
                 LoaderStep::Wait(until) => {
                     sleep(until.saturating_sub(clock::now()).min(NOTICE_WAIT)).await;
-                    StepEnd::Waited
+                    StepResult::Waited
                 }
             }
         }
@@ -182,27 +182,27 @@
         }
     }
 
-    async fn apply(&mut self, end: StepEnd, began: Timestamp) {
+    async fn apply(&mut self, end: StepResult, began: Timestamp) {
         let now = clock::now();
         match end {
-            StepEnd::Reported(Ok(report)) => {
+            StepResult::Reported(Ok(report)) => {
                 gauge!("plantain_running").set(f64::from(report.active));
                 gauge!("plantain_queued").set(f64::from(report.queued));
                 self.machine.take_report(report, now);
                 self.note_answering();
             }
-            StepEnd::Identified(Ok(instance)) => {
+            StepResult::Identified(Ok(instance)) => {
                 info!(self.logger, "engine identified"; "step" => "identify",
                     "instance" => &*instance);
                 self.machine.take_instance(instance);
             }
-            StepEnd::Reported(Err(error)) | StepEnd::Identified(Err(error)) => {
+            StepResult::Reported(Err(error)) | StepResult::Identified(Err(error)) => {
                 self.note_silence(&error);
             }
-            StepEnd::Ordered(order, answer, detail) => {
+            StepResult::Ordered(order, answer, detail) => {
                 self.note_order(&order, answer, detail, began).await;
             }
-            StepEnd::Waited => {}
+            StepResult::Waited => {}
         }
     }
 
@@ -217,11 +217,11 @@
         histogram!("plantain_order_seconds").record(took.as_secs_f64());
         count_order(order, answer);
         let (verb, adapter) = describe(order);
-        let (far_loads, load_limiter) = self.machine.load_limiter();
+        let (weight_store_loads, load_limiter) = self.machine.load_limiter();
         info!(self.logger, "order given"; "step" => "order", "verb" => verb, "adapter" => adapter,
             "order_count" => order.order_count, "instance" => &*order.incarnation.id, "started" => order.incarnation.started,
             "report_age_ms" => self.machine.report_age(began).as_millis() as u64,
-            "far_loads" => far_loads, "window" => load_limiter.window(),
+            "far_loads" => weight_store_loads, "window" => load_limiter.window(),
             "load_ms" => load_limiter.expected().as_millis() as u64, "answer" => ?answer, "detail" => detail, "took_ms" => took.as_millis() as u64);
         self.machine.take_answer(order, answer, clock::now());
         if answer == OrderAnswer::Refused {
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -27,8 +27,8 @@
 };
 use context::RouterContext;
 use control::{
-    ControlStart,
-    link::{ControlEvent, listed_targets},
+    ControlInputs,
+    context::{ControlEvent, listed_targets},
 };
 use eyre::{Result, WrapErr};
 use plantain_core::{
@@ -101,7 +101,7 @@
     let listener = server::bind(address, "peers' address").await?;
     let listener = listener.into_std().wrap_err("hand over peers' address")?;
     let (sender, events) = mpsc::channel(control::RING_DEPTH);
-    let start = ControlStart {
+    let inputs = ControlInputs {
         settings: settings.clone(),
         peers,
         boot: context.boot,
@@ -110,7 +110,7 @@
         listener,
         logger: context.logger.clone(),
     };
-    duty::start("control", move || control::run(start))?;
+    duty::start("control", move || control::run(inputs))?;
     Ok(events)
 }
 
@@ -152,8 +152,8 @@
         ControlEvent::Regained(FollowedKind::Targets) => {
             context.pool.borrow_mut().note_contact(now);
         }
-        ControlEvent::Lost(FollowedKind::Config) => context.may_be_behind.set(true),
-        ControlEvent::Regained(FollowedKind::Config) => context.may_be_behind.set(false),
+        ControlEvent::Lost(FollowedKind::Config) => context.may_be_outdated.set(true),
+        ControlEvent::Regained(FollowedKind::Config) => context.may_be_outdated.set(false),
         ControlEvent::Lost(FollowedKind::Crashes) => context.routers_mut().set_lost(true, now),
         ControlEvent::Regained(FollowedKind::Crashes) => context.routers_mut().set_lost(false, now),
         ControlEvent::Lost(FollowedKind::Releases)
@@ -275,11 +275,11 @@
 impl RouterCountLog {
     /// Writes a line if the number has changed, at most once a second.
     fn log(&mut self, context: &RouterContext, now: Timestamp) {
-        let named = context.routers_mut().named();
-        if named != self.logged && now.saturating_sub(self.logged_at) >= Duration::from_secs(1) {
+        let count = context.routers_mut().named();
+        if count != self.logged && now.saturating_sub(self.logged_at) >= Duration::from_secs(1) {
             info!(context.logger, "routers known by their reports"; "step" => "routers",
-                "routers" => named);
-            (self.logged, self.logged_at) = (named, now);
+                "routers" => count);
+            (self.logged, self.logged_at) = (count, now);
         }
     }
 }
@@ -289,7 +289,7 @@
 async fn run_maintenance(context: Rc<RouterContext>) {
     let mut ticks = interval(constants::TICK);
     let mut last = clock::now();
-    let mut named = RouterCountLog::default();
+    let mut count_log = RouterCountLog::default();
     loop {
         ticks.tick().await;
         let now = clock::now();
@@ -303,7 +303,7 @@
         context.pool.borrow_mut().expire(now);
         context.detect_crashes(now);
         context.routers_mut().expire(now);
-        named.log(&context, now);
+        count_log.log(&context, now);
         context.connections.expire(now);
         context.prefetch(now);
         links::follow_meters(&context, now);
--- a/crates/daemon/src/router/admission.rs
+++ b/crates/daemon/src/router/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{
     constants,
-    context::{RouterContext, becomes_true},
+    context::{RouterContext, poll_until},
     limits::UsageCharge,
 };
 use crate::clock;
@@ -106,7 +106,7 @@
     }
     Err(match head.key {
         PresentedKey::Missing | PresentedKey::Unusable(_) => CallRejection::NoKey,
-        PresentedKey::Digest(_) if context.may_be_behind.get() => CallRejection::MayBeNewKey,
+        PresentedKey::Digest(_) if context.may_be_outdated.get() => CallRejection::MayBeNewKey,
         PresentedKey::Digest(_) => CallRejection::UnknownKey,
     })
 }
@@ -139,11 +139,11 @@
     if limits.knows_meters() || !context.is_starting() {
         return false;
     }
-    becomes_true(clock::now() + constants::METER_WAIT, || limits.knows_meters()).await
+    poll_until(clock::now() + constants::METER_WAIT, || limits.knows_meters()).await
 }
 
 /// Details of a rejection for its log line.
-pub(super) fn grounds(
+pub(super) fn rejection_detail(
     context: &RouterContext,
     rejection: CallRejection,
     head: &CallHead,
--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/callers.rs
@@ -2,7 +2,7 @@
 
 use super::{
     admission::{self, CallRejection},
-    connections::prepare,
+    connections::configure_socket,
     constants,
     context::RouterContext,
     exchange::{AdmittedCall, CallExchange, DispatchResult, GiveUpReason},
@@ -151,7 +151,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, context: Rc<RouterContext>) {
-    if prepare(&stream).is_err() {
+    if configure_socket(&stream).is_err() {
         return;
     }
     let state = Rc::new(ConnectionState::default());
@@ -207,7 +207,7 @@
     let (parts, body) = request.into_parts();
     let head = calls::decode_call(&parts);
     let start_wait = head.time_left.unwrap_or(constants::START_WAIT);
-    context.first_config(started + start_wait.saturating_sub(constants::SERVE_TIME)).await;
+    context.wait_for_first_config(started + start_wait.saturating_sub(constants::SERVE_TIME)).await;
     let config = Arc::clone(context.pool.borrow().config());
     let mut identity = None;
     match admit(&parts, &head, body, &config, context, &mut identity).await {
@@ -217,7 +217,7 @@
         }
         Err(rejection) => {
             let caller = identity.as_ref();
-            let grounds = admission::grounds(context, rejection, &head, caller);
+            let detail = admission::rejection_detail(context, rejection, &head, caller);
             let record = CallRecord {
                 id: head.id.clone(),
                 customer: admission::customer_name(caller),
@@ -226,7 +226,7 @@
             };
             // The query is not logged: it may hold secrets of the caller.
             let path = head.path.split('?').next().unwrap_or_default();
-            let location = format!("{}{path}{grounds}", head.host);
+            let location = format!("{}{path}{detail}", head.host);
             reject(context, record, rejection, &location, started)
         }
     }
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -144,7 +144,7 @@
         .await
         .wrap_err_with(|| format!("connect to {address}: no answer"))?
         .wrap_err_with(|| format!("connect to {address}"))?;
-    prepare(&stream).wrap_err_with(|| format!("prepare connection to {address}"))?;
+    configure_socket(&stream).wrap_err_with(|| format!("prepare connection to {address}"))?;
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
@@ -157,7 +157,7 @@
 }
 
 /// Disables write coalescing, and lets the kernel close connections whose peer stopped acknowledging.
-pub(crate) fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(constants::UNACKED_LIMIT))
 }
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -49,7 +49,7 @@
     /// Use of customers' and targets' rate limits.
     pub(crate) limits: LimitTracker,
     /// Whether the known configuration may be outdated, because it cannot be followed now.
-    pub(crate) may_be_behind: Cell<bool>,
+    pub(crate) may_be_outdated: Cell<bool>,
     /// Unused connections to targets.
     pub(crate) connections: ConnectionPool,
     /// Wakes calls that wait for a report from a target's loader.
@@ -90,7 +90,7 @@
             boot,
             crashes: CrashTracker::new(&settings.name, boot),
             limits: LimitTracker::new(boot, settings.bounds.limits.terms()),
-            may_be_behind: Cell::new(false),
+            may_be_outdated: Cell::new(false),
             settings: RefCell::new(settings),
             pool: RefCell::new(TargetPool::new()),
             connections: ConnectionPool::default(),
@@ -116,9 +116,9 @@
     }
 
     /// Waits for the first configuration, at most until `deadline` and [`constants::START_WAIT`] after the start.
-    pub(crate) async fn first_config(&self, deadline: Timestamp) {
+    pub(crate) async fn wait_for_first_config(&self, deadline: Timestamp) {
         let deadline = deadline.min(self.started + constants::START_WAIT);
-        becomes_true(deadline, || self.pool.borrow().config().number > 0).await;
+        poll_until(deadline, || self.pool.borrow().config().number > 0).await;
     }
 
     /// Whether the stop signal came.
@@ -177,9 +177,9 @@
         self.routers.borrow().view(&settings.zone, settings.peer_listen, clock::now())
     }
 
-    /// Zones of `all` whose router count this router queries with its presence number `turn`.
-    pub(crate) fn zones_to_ask<'a>(&self, all: &'a [ZoneName], turn: usize) -> Vec<&'a ZoneName> {
-        self.routers.borrow().zones_to_ask(all, turn, clock::now())
+    /// Zones of `all` whose router count this router queries with its presence number `round`.
+    pub(crate) fn zones_to_ask<'a>(&self, all: &'a [ZoneName], round: usize) -> Vec<&'a ZoneName> {
+        self.routers.borrow().zones_to_ask(all, round, clock::now())
     }
 
     /// Number of routers in all zones, including this one.
@@ -282,7 +282,7 @@
 }
 
 /// Polls a condition, at most until `deadline`; returns whether it became true.
-pub(crate) async fn becomes_true(deadline: Timestamp, is_true: impl Fn() -> bool) -> bool {
+pub(crate) async fn poll_until(deadline: Timestamp, is_true: impl Fn() -> bool) -> bool {
     while !is_true() {
         if clock::now() >= deadline {
             return false;
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -85,7 +85,7 @@
     }
 
     /// Records that the run ended, in a success or a failure, and the target is alive.
-    pub(crate) fn survived(&mut self) {
+    pub(crate) fn set_survived(&mut self) {
         self.end = RunEnd::Settled;
         self.context.note_survival(&self.incarnation, self.call);
     }
@@ -96,7 +96,7 @@
     }
 
     /// Records the first byte of the answer.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn set_answered(&mut self) {
         self.is_answered = true;
         let prefill_tokens = std::mem::take(&mut self.prefill_tokens);
         self.context.pool.borrow_mut().call_answered(&self.incarnation, prefill_tokens);
--- a/crates/daemon/src/router/control.rs
+++ b/crates/daemon/src/router/control.rs
@@ -1,8 +1,8 @@
 //! The control thread: follows the store and exchanges state with other routers.
 
-pub(super) mod link;
+pub(super) mod context;
 
-use self::link::{ControlEvent, ControlLink, LinkStart};
+use self::context::{ContextInputs, ControlContext, ControlEvent};
 use super::{constants, crash_updates, follow, peers, sharing};
 use crate::{clock, options::site::RouterFile};
 use plantain_core::{crashes::CrashReport, direct::directory::PeerView, ids::BootId};
@@ -16,7 +16,7 @@
 };
 
 /// Inputs of the control thread.
-pub(crate) struct ControlStart {
+pub(crate) struct ControlInputs {
     /// Current settings; the file may be reloaded.
     pub(crate) settings: watch::Receiver<Arc<RouterFile>>,
     /// Other routers that are alive.
@@ -34,10 +34,13 @@
 }
 
 /// Adds this router's own crash report to the state that peers can read while the store is unreachable.
-async fn include_own_crashes(link: Rc<ControlLink>, mut own: watch::Receiver<Arc<CrashReport>>) {
+async fn include_own_crashes(
+    context: Rc<ControlContext>,
+    mut own: watch::Receiver<Arc<CrashReport>>,
+) {
     while own.changed().await.is_ok() {
         let report = Arc::clone(&own.borrow_and_update());
-        link.state.borrow_mut().take_crashes(&report, clock::now());
+        context.state.borrow_mut().take_crashes(&report, clock::now());
     }
 }
 
@@ -45,17 +48,18 @@
 pub(crate) const RING_DEPTH: usize = constants::CONTROL_RING;
 
 /// Runs the control thread's tasks until the process ends.
-pub(crate) async fn run(start: ControlStart) {
-    let ControlStart { settings, peers, boot, crashes, events, listener, logger } = start;
-    let link = Rc::new(ControlLink::new(LinkStart { settings, peers, boot, events, logger }));
+pub(crate) async fn run(inputs: ControlInputs) {
+    let ControlInputs { settings, peers, boot, crashes, events, listener, logger } = inputs;
+    let context =
+        Rc::new(ControlContext::new(ContextInputs { settings, peers, boot, events, logger }));
     for kind in FollowedKind::ALL {
-        spawn_local(follow::run(kind, Rc::clone(&link)));
+        spawn_local(follow::run(kind, Rc::clone(&context)));
     }
-    spawn_local(sharing::run(Rc::clone(&link)));
-    spawn_local(include_own_crashes(Rc::clone(&link), crashes.clone()));
-    spawn_local(crash_updates::publish(Rc::clone(&link), crashes));
-    spawn_local(crash_updates::clean(Rc::clone(&link)));
+    spawn_local(sharing::run(Rc::clone(&context)));
+    spawn_local(include_own_crashes(Rc::clone(&context), crashes.clone()));
+    spawn_local(crash_updates::publish(Rc::clone(&context), crashes));
+    spawn_local(crash_updates::clean(Rc::clone(&context)));
     let listener = TcpListener::from_std(listener).expect("a bound, non-blocking listener");
-    spawn_local(peers::serve(listener, Rc::clone(&link)));
-    peers::fetch_snapshots(link).await;
+    spawn_local(peers::serve(listener, Rc::clone(&context)));
+    peers::fetch_snapshots(context).await;
 }
--- a/crates/daemon/src/router/control/link.rs
+++ b/crates/daemon/src/router/control/context.rs
@@ -78,8 +78,8 @@
     pub(in crate::router) must_probe: Cell<bool>,
 }
 
-/// Shared state of the control thread's tasks.
-pub(crate) struct ControlLink {
+/// Settings, followed state and progress, shared by the control thread's tasks.
+pub(crate) struct ControlContext {
     pub(in crate::router) logger: Logger,
     /// Id of this start of the process.
     pub(in crate::router) boot: BootId,
@@ -109,8 +109,8 @@
     store_regained: Notify,
 }
 
-/// Inputs of a [`ControlLink`].
-pub(super) struct LinkStart {
+/// Inputs of a [`ControlContext`].
+pub(super) struct ContextInputs {
     /// Current settings; the file may be reloaded.
     pub(super) settings: watch::Receiver<Arc<RouterFile>>,
     /// Other routers that are alive.
@@ -123,10 +123,10 @@
     pub(super) logger: Logger,
 }
 
-impl ControlLink {
+impl ControlContext {
     /// Starts with no followed state.
-    pub(super) fn new(start: LinkStart) -> Self {
-        let LinkStart { settings, peers, boot, events, logger } = start;
+    pub(super) fn new(inputs: ContextInputs) -> Self {
+        let ContextInputs { settings, peers, boot, events, logger } = inputs;
         Self {
             logger,
             boot,
--- a/crates/daemon/src/router/crash_updates.rs
+++ b/crates/daemon/src/router/crash_updates.rs
@@ -1,7 +1,7 @@
 //! Writes this router's crash report to the platform's store, from which all other routers get it and where it
 //! outlives the process.
 
-use super::control::link::ControlLink;
+use super::control::context::ControlContext;
 use crate::clock;
 use bytes::Bytes;
 use eyre::{Result, ensure};
@@ -40,17 +40,20 @@
 const CLEAN_PAUSE: Duration = Duration::from_mins(1);
 
 /// Writes the report at the start, so that all other routers know this one, and after each change.
-pub(super) async fn publish(link: Rc<ControlLink>, mut own: watch::Receiver<Arc<CrashReport>>) {
+pub(super) async fn publish(
+    context: Rc<ControlContext>,
+    mut own: watch::Receiver<Arc<CrashReport>>,
+) {
     let mut writer = ReportWriter {
         client: HttpClient::new(),
         started: clock::now(),
         earlier: None,
         revision: None,
         is_read: false,
-        link,
+        context,
     };
     let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
-    while !writer.link.is_current() || !writer.link.has_read(FollowedKind::Crashes) {
+    while !writer.context.is_current() || !writer.context.has_read(FollowedKind::Crashes) {
         // Each call costs, so a store that does not answer is not called. The first write replaces the report of the
         // process's previous start, so that report must have been read before.
         sleep(FIRST_PAUSE).await;
@@ -62,7 +65,7 @@
             match writer.write(&report).await {
                 Ok(()) => break,
                 Err(error) => {
-                    warn!(writer.link.logger, "crashes not told"; "step" => "crashes",
+                    warn!(writer.context.logger, "crashes not told"; "step" => "crashes",
                         "sequence" => report.sequence, "error" => %format!("{error:#}"));
                     sleep(backoff.next_pause()).await;
                 }
@@ -78,20 +81,20 @@
 
 /// Removes the reports of routers that are gone from the store, until the process ends. Only routers that follow the
 /// store directly do this.
-pub(super) async fn clean(link: Rc<ControlLink>) {
+pub(super) async fn clean(context: Rc<ControlContext>) {
     let client = HttpClient::new();
     loop {
         sleep(CLEAN_PAUSE).await;
-        let stale = link.state.borrow_mut().expire_crashes(clock::now());
-        let is_direct = link.source() == StoreSource::Store;
+        let stale = context.state.borrow_mut().expire_crashes(clock::now());
+        let is_direct = context.source() == StoreSource::Store;
         for report in stale.iter().filter(|_| is_direct) {
-            match remove(&client, &link, report).await {
+            match remove(&client, &context, report).await {
                 Ok(()) => {
-                    info!(link.logger, "old report of crashes removed"; "step" => "crashes",
+                    info!(context.logger, "old report of crashes removed"; "step" => "crashes",
                         "router" => &*report.router);
                 }
                 Err(error) => {
-                    warn!(link.logger, "old report of crashes not removed"; "step" => "crashes",
+                    warn!(context.logger, "old report of crashes not removed"; "step" => "crashes",
                         "router" => &*report.router, "error" => %format!("{error:#}"));
                 }
             }
@@ -100,9 +103,9 @@
 }
 
 /// Removes a report unless its router has written a newer one since.
-async fn remove(client: &HttpClient, link: &ControlLink, stale: &CrashReport) -> Result<()> {
+async fn remove(client: &HttpClient, context: &ControlContext, stale: &CrashReport) -> Result<()> {
     let (status, body) =
-        store_call(client, link, Method::GET, &crashes::report_path(&stale.router), Vec::new())
+        store_call(client, context, Method::GET, &crashes::report_path(&stale.router), Vec::new())
             .await?;
     if status == StatusCode::NOT_FOUND {
         return Ok(());
@@ -114,26 +117,26 @@
         return Ok(());
     }
     let path = crashes::remove_path(&stale.router, stored.revision);
-    let (status, _) = store_call(client, link, Method::DELETE, &path, Vec::new()).await?;
+    let (status, _) = store_call(client, context, Method::DELETE, &path, Vec::new()).await?;
     ensure!(status.is_success() || status == StatusCode::NOT_FOUND, "remove: {status}");
     Ok(())
 }
 
 async fn store_call(
     client: &HttpClient,
-    link: &ControlLink,
+    context: &ControlContext,
     method: Method,
     path: &str,
     body: Vec<u8>,
 ) -> Result<(StatusCode, Bytes)> {
     counter!("plantain_store_calls_total", "kind" => "crashes").increment(1);
-    let uri = url(link.store(), path);
+    let uri = url(context.store(), path);
     let answer = client.call(method, &uri, body, CALL_LIMIT).await?;
     Ok((answer.status, answer.body))
 }
 
 struct ReportWriter {
-    link: Rc<ControlLink>,
+    context: Rc<ControlContext>,
     client: HttpClient,
     started: Timestamp,
     /// Report of this router's previous start; it stays in force for [`CRASH_TTL`] after this start.
@@ -152,12 +155,12 @@
             self.read().await?;
             self.is_read = true;
         }
-        let mut whole = report.clone();
+        let mut merged = report.clone();
         let is_counted = clock::now().saturating_sub(self.started) < CRASH_TTL;
         if let Some(earlier) = self.earlier.as_ref().filter(|_| is_counted) {
-            whole.add_earlier(earlier);
+            merged.add_earlier(earlier);
         }
-        let body = crashes::encode_report(&whole, self.revision);
+        let body = crashes::encode_report(&merged, self.revision);
         let (method, path) = if self.revision.is_some() {
             (Method::PUT, crashes::report_path(&report.router))
         } else {
@@ -168,16 +171,16 @@
         self.revision = None;
         ensure!(status.is_success(), "write report of crashes: {status}");
         self.revision = crashes::decode_stored(&answer).ok().map(|stored| stored.revision);
-        info!(self.link.logger, "crashes told"; "step" => "crashes",
-            "sequence" => report.sequence, "crashes" => whole.crashes.len(),
-            "survivals" => whole.survivals.len());
+        info!(self.context.logger, "crashes told"; "step" => "crashes",
+            "sequence" => report.sequence, "crashes" => merged.crashes.len(),
+            "survivals" => merged.survivals.len());
         Ok(())
     }
 
     /// Reads the object, and from it the report of this router's previous start. The first read may return a state
     /// that is seconds old: the revision condition of the write detects that.
     async fn read(&mut self) -> Result<()> {
-        let name = self.link.router_name();
+        let name = self.context.router_name();
         let path = if self.is_read {
             crashes::report_path(&name)
         } else {
@@ -191,12 +194,12 @@
         let StoredReport { revision, report } = crashes::decode_stored(&body)?;
         self.revision = Some(revision);
         match report {
-            Ok(report) if self.earlier.is_none() && report.boot != self.link.boot => {
+            Ok(report) if self.earlier.is_none() && report.boot != self.context.boot => {
                 self.earlier = Some(report);
             }
             Ok(_) => {}
             Err(error) => {
-                warn!(self.link.logger, "own report of crashes not understood; it is replaced";
+                warn!(self.context.logger, "own report of crashes not understood; it is replaced";
                     "step" => "crashes", "error" => %format!("{error:#}"));
             }
         }
@@ -204,6 +207,6 @@
     }
 
     async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<(StatusCode, Bytes)> {
-        store_call(&self.client, &self.link, method, path, body).await
+        store_call(&self.client, &self.context, method, path, body).await
     }
 }
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -37,7 +37,7 @@
 use tokio::time::sleep;
 
 /// Whether a call that has waited since `began` may go on waiting for a base model.
-fn can_wait(began: Timestamp) -> bool {
+fn may_wait_for_base(began: Timestamp) -> bool {
     clock::now().saturating_sub(began) < constants::BASE_WAIT
 }
 
@@ -287,7 +287,8 @@
         true
     }
 
-    /// Sheds the call with a probability that grows with the overload of its plain service; returns the retry delay.
+    /// Sheds the call with a probability that grows with the overload of its plain service; returns the retry delay if
+    /// so.
     fn shed(&mut self) -> Option<Duration> {
         let expected = self.queued_plain_ms()?;
         if rand::random::<f64>() >= shed_share(expected, self.route.objective) {
@@ -367,7 +368,7 @@
                             self.record.load_wait += clock::now().saturating_sub(began);
                             return Ok(ChosenTarget { incarnation, version, permit });
                         }
-                        TargetPermit::Saturated(grounds) => self.note(&grounds),
+                        TargetPermit::Saturated(reason) => self.note(&reason),
                     }
                 }
                 TargetChoice::Nowhere => {
@@ -400,7 +401,7 @@
                         self.context.request_report(&incarnation, constants::REPORT_WAIT).await;
                     self.record.report_requests += u32::from(is_new);
                 }
-                TargetChoice::AwaitBase if !can_wait(began) => {
+                TargetChoice::AwaitBase if !may_wait_for_base(began) => {
                     self.note("base model not loaded in time");
                     return Err(constants::RETURN_PAUSE);
                 }
@@ -411,7 +412,7 @@
                         .is_some_and(|guard| guard.is_for(&incarnation, &adapter, version));
                     if !is_same {
                         self.note(&format!("load {}@{version} at {incarnation}", adapter.name));
-                        waiting = Some(self.wait_for(&incarnation, &adapter, version));
+                        waiting = Some(self.request_load(&incarnation, &adapter, version));
                     }
                     if let Some(guard) = &waiting {
                         guard.wait_for_report(constants::LOAD_POLL_PAUSE).await;
@@ -421,9 +422,8 @@
         }
     }
 
-    /// Requests an adapter load. The load is due before the call's objective by the time that the target's recent
-    /// answers took to their first byte.
-    fn wait_for(
+    /// Requests an adapter load, due as long before the call's objective as the target's recent answers took to begin.
+    fn request_load(
         &self,
         incarnation: &TargetIncarnation,
         adapter: &AdapterId,
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -192,7 +192,7 @@
             return Ok(PendingAnswer { head, body, connection, guard });
         }
         match proof {
-            RunProof::Succeeded | RunProof::Failed => guard.survived(),
+            RunProof::Succeeded | RunProof::Failed => guard.set_survived(),
             RunProof::NotRun | RunProof::Misdirected => guard.set_end(RunEnd::Settled),
             RunProof::Unknown => {}
         }
@@ -211,21 +211,21 @@
             self.context.notify_loader(&incarnation);
         }
         let is_foreign = proof == RunProof::Unknown;
-        let whole = if is_foreign { None } else { self.read_failure(body).await };
-        if whole.is_some() {
+        let failure_body = if is_foreign { None } else { self.read_failure(body).await };
+        if failure_body.is_some() {
             self.context.connections.put_back(connection, calls::connection_life(&parts.headers));
         }
         let may_relay = proof == RunProof::Failed
             && failure_reply(self.route.kind, head.status) == FailureReply::AsIs;
-        let reply = whole
+        let reply = failure_body
             .filter(|_| may_relay)
             .map(|body| calls::relay_answer(parts.status, &parts.headers, ReplyBody::new(body)));
         Err(SendFailure { proof, reply })
     }
 
     async fn read_failure(&self, body: Incoming) -> Option<Bytes> {
-        let whole = Limited::new(body, constants::FAILURE_LIMIT).collect();
-        let read = timeout(self.time_left().min(self.route.objective), whole).await;
+        let failure_body = Limited::new(body, constants::FAILURE_LIMIT).collect();
+        let read = timeout(self.time_left().min(self.route.objective), failure_body).await;
         read.ok()?.ok().map(http_body_util::Collected::to_bytes)
     }
 }
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -2,7 +2,7 @@
 
 pub(super) mod peer_changes;
 
-use super::control::link::{ControlEvent, ControlLink, KindProgress, StoreCheck};
+use super::control::context::{ControlContext, ControlEvent, KindProgress, StoreCheck};
 use crate::clock;
 use bytes::Bytes;
 use eyre::{Result, eyre};
@@ -61,12 +61,12 @@
 const MAX_REGAIN_WAIT: Duration = Duration::from_secs(3);
 
 /// Follows one kind until the process ends.
-pub(super) async fn run(kind: FollowedKind, link: Rc<ControlLink>) {
+pub(super) async fn run(kind: FollowedKind, context: Rc<ControlContext>) {
     let mut follower = KindFollower {
         kind,
         client: HttpClient::with_probes(),
         backoff: RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE),
-        link,
+        context,
     };
     loop {
         follower.step().await;
@@ -77,46 +77,46 @@
     kind: FollowedKind,
     client: HttpClient,
     backoff: RetryBackoff,
-    link: Rc<ControlLink>,
+    context: Rc<ControlContext>,
 }
 
 impl KindFollower {
     async fn step(&mut self) {
-        if self.link.source() == StoreSource::Router {
-            self.link.wait_for_shared(false).await;
+        if self.context.source() == StoreSource::Router {
+            self.context.wait_for_shared(false).await;
             return;
         }
         if self.kind != FollowedKind::Config {
-            let is_out = self.link.store_check().await == Some(StoreCheck::Silent);
+            let is_out = self.context.store_check().await == Some(StoreCheck::Silent);
             if is_out && self.progress().failing_since.get().is_none() {
                 self.note_failure(&eyre!("the store does not answer for the configuration")).await;
                 return;
             }
         }
         let result = match self.progress().revision.get() {
-            Some(revision) if self.link.source() == StoreSource::Store => {
+            Some(revision) if self.context.source() == StoreSource::Store => {
                 self.watch(revision).await
             }
             None if self.kind != FollowedKind::Crashes => {
-                self.link.wait_for_direct_read().await;
+                self.context.wait_for_direct_read().await;
                 if self.progress().revision.get().is_some() {
                     return;
                 }
                 self.list().await
             }
-            None if self.link.source() == StoreSource::Store => self.list().await,
+            None if self.context.source() == StoreSource::Store => self.list().await,
             _ => {
                 // An upstream may supply the remaining kinds; if none does, the store is read directly.
-                let link = Rc::clone(&self.link);
+                let context = Rc::clone(&self.context);
                 tokio::select! {
-                    () = link.wait_for_direct() => {}
-                    () = link.wait_for_shared(true) => {}
+                    () = context.wait_for_direct() => {}
+                    () = context.wait_for_shared(true) => {}
                 }
                 return;
             }
         };
         if self.kind == FollowedKind::Config {
-            self.link.finish_store_check();
+            self.context.finish_store_check();
         }
         match result {
             Ok(()) => self.note_contact().await,
@@ -125,7 +125,7 @@
     }
 
     fn progress(&self) -> &KindProgress {
-        self.link.progress(self.kind)
+        self.context.progress(self.kind)
     }
 
     async fn list(&mut self) -> Result<()> {
@@ -135,7 +135,7 @@
         // delivered again. It is stored only once all pages are read: after an incomplete list, the missing targets
         // would never be delivered.
         let mut first = None;
-        let age = match self.link.source() {
+        let age = match self.context.source() {
             StoreSource::Undecided => ListAge::Recent,
             StoreSource::Store | StoreSource::Router => ListAge::Current,
         };
@@ -143,7 +143,7 @@
             let path = objects::list_path(self.kind, after.as_deref(), age);
             let body = self.get(&path, LIST_LIMIT).await?;
             if age == ListAge::Current {
-                self.link.confirmed_at.set(clock::now());
+                self.context.confirmed_at.set(clock::now());
             }
             let body = body.ok_or_else(|| eyre!("{path}: history gone"))?;
             let page = objects::decode_list(self.kind, &body)?;
@@ -156,23 +156,23 @@
             }
         };
         self.note_contact().await;
-        self.link.send(ControlEvent::Listed(self.kind, changes)).await;
+        self.context.send(ControlEvent::Listed(self.kind, changes)).await;
         self.progress().revision.set(Some(revision));
-        self.link.change_log(self.kind, |log| log.restart(revision));
+        self.context.change_log(self.kind, |log| log.restart(revision));
         Ok(())
     }
 
     async fn watch(&mut self, revision: u64) -> Result<()> {
         let wait = self.watch_wait();
         let path = objects::watch_path(self.kind, revision, wait);
-        let link = Rc::clone(&self.link);
+        let context = Rc::clone(&self.context);
         let body = tokio::select! {
             body = self.get(&path, wait + ANSWER_SLACK) => body?,
-            () = link.wait_for_shared(true) => return Ok(()),
+            () = context.wait_for_shared(true) => return Ok(()),
         };
-        self.link.confirmed_at.set(clock::now());
+        self.context.confirmed_at.set(clock::now());
         let Some(body) = body else {
-            info!(self.link.logger, "history gone; list again"; "step" => "follow",
+            info!(self.context.logger, "history gone; list again"; "step" => "follow",
                 "kind" => self.kind.name(), "revision" => revision);
             self.progress().revision.set(None);
             return Ok(());
@@ -180,14 +180,14 @@
         let page = objects::decode_watch(self.kind, &body)?;
         self.log_faults(&page);
         self.note_contact().await;
-        let logged = self.link.classify_changes(page.changes.iter().map(to_shared));
-        let has_new_target = page.changes.iter().any(|change| self.link.is_new_target(change));
+        let logged = self.context.classify_changes(page.changes.iter().map(to_shared));
+        let has_new_target = page.changes.iter().any(|change| self.context.is_new_target(change));
         let is_change = !page.changes.is_empty();
         if is_change {
-            self.link.send(ControlEvent::Changed(page.changes)).await;
+            self.context.send(ControlEvent::Changed(page.changes)).await;
         }
         self.progress().revision.set(Some(page.revision));
-        self.link.change_log(self.kind, |log| log.append(revision, page.revision, logged));
+        self.context.change_log(self.kind, |log| log.append(revision, page.revision, logged));
         if has_new_target {
             sleep(NEW_GATHER).await;
         } else if is_change {
@@ -200,9 +200,9 @@
     fn gather_time(&self) -> Duration {
         match self.kind {
             FollowedKind::Targets => {
-                let is_upstream = self.link.has_zone_peers();
+                let is_upstream = self.context.has_zone_peers();
                 let share = if is_upstream { UPSTREAM_GATHER_SHARE } else { GATHER_SHARE };
-                self.link.drain_time().mul_f64(share)
+                self.context.drain_time().mul_f64(share)
             }
             FollowedKind::Crashes => CRASH_GATHER,
             FollowedKind::Config | FollowedKind::Releases => Duration::ZERO,
@@ -217,10 +217,10 @@
             return PROBE_WAIT;
         }
         match self.kind {
-            FollowedKind::Targets if self.link.has_zone_peers() => {
-                self.link.drain_time().mul_f64(UPSTREAM_WAIT_SHARE)
+            FollowedKind::Targets if self.context.has_zone_peers() => {
+                self.context.drain_time().mul_f64(UPSTREAM_WAIT_SHARE)
             }
-            FollowedKind::Targets => self.link.drain_time().mul_f64(LIST_WAIT_SHARE),
+            FollowedKind::Targets => self.context.drain_time().mul_f64(LIST_WAIT_SHARE),
             FollowedKind::Config | FollowedKind::Releases | FollowedKind::Crashes => WATCH_WAIT,
         }
     }
@@ -228,7 +228,7 @@
     /// Gets a path; `None` if the store has dropped the history since the requested revision.
     async fn get(&self, path: &str, limit: Duration) -> Result<Option<Bytes>> {
         counter!("plantain_store_calls_total", "kind" => self.kind.name()).increment(1);
-        let store: SocketAddr = self.link.store();
+        let store: SocketAddr = self.context.store();
         let answer = self.client.call(Method::GET, &url(store, path), Bytes::new(), limit).await?;
         match answer.status {
             StatusCode::OK => Ok(Some(answer.body)),
@@ -239,30 +239,30 @@
 
     fn log_faults(&self, page: &FollowedPage) {
         for fault in page.faults.iter().take(FAULT_LINES) {
-            warn!(self.link.logger, "object not understood"; "step" => "follow",
+            warn!(self.context.logger, "object not understood"; "step" => "follow",
                 "kind" => self.kind.name(), "fault" => fault);
         }
         if page.faults.len() > FAULT_LINES {
-            warn!(self.link.logger, "more objects not understood"; "step" => "follow",
+            warn!(self.context.logger, "more objects not understood"; "step" => "follow",
                 "kind" => self.kind.name(), "objects" => page.faults.len() - FAULT_LINES);
         }
     }
 
     async fn note_contact(&mut self) {
         self.backoff.reset();
-        self.link.note_contact(self.kind).await;
+        self.context.note_contact(self.kind).await;
     }
 
     async fn note_failure(&mut self, error: &eyre::Report) {
         counter!("plantain_platform_failures_total").increment(1);
-        self.link.change_log(self.kind, ChangeLog::stop);
-        self.link.request_probes();
+        self.context.change_log(self.kind, ChangeLog::stop);
+        self.context.request_probes();
         let failing_since = &self.progress().failing_since;
         if failing_since.get().is_none() {
             failing_since.set(Some(clock::now()));
-            warn!(self.link.logger, "store lost"; "step" => "follow",
+            warn!(self.context.logger, "store lost"; "step" => "follow",
                 "kind" => self.kind.name(), "error" => %format!("{error:#}"));
-            self.link.send(ControlEvent::Lost(self.kind)).await;
+            self.context.send(ControlEvent::Lost(self.kind)).await;
         }
         self.pause().await;
     }
@@ -271,7 +271,7 @@
     /// costs. The other followers resume as soon as it succeeds, so that a router that starts in an outage gets its
     /// targets together with its configuration and not up to a second later.
     async fn pause(&mut self) {
-        let waits_for_config = self.kind != FollowedKind::Config && self.link.is_config_lost();
+        let waits_for_config = self.kind != FollowedKind::Config && self.context.is_config_lost();
         let pause = if waits_for_config {
             MAX_REGAIN_WAIT.max(self.probe_pause())
         } else {
@@ -279,8 +279,8 @@
         };
         tokio::select! {
             () = sleep(pause) => {}
-            () = self.link.store_regained().notified(), if waits_for_config => {}
-            () = self.link.wait_for_shared(true) => {}
+            () = self.context.store_regained().notified(), if waits_for_config => {}
+            () = self.context.wait_for_shared(true) => {}
         }
     }
 
@@ -290,7 +290,7 @@
         let failing_since = self.progress().failing_since.get();
         let is_repeated =
             failing_since.is_some_and(|since| clock::now().saturating_sub(since) >= FIRST_PAUSE);
-        let pause = self.link.peer_view().probe_pause(self.link.own_address());
+        let pause = self.context.peer_view().probe_pause(self.context.own_address());
         if is_repeated { pause } else { Duration::ZERO }
     }
 }
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -181,10 +181,10 @@
             return;
         }
         let limit_updates = self.context.pool.borrow().limit_updates(clock::now());
-        let turn = self.presences;
+        let round = self.presences;
         self.presences += 1;
-        if turn > 0 {
-            own = vec![own[turn % own.len()]];
+        if round > 0 {
+            own = vec![own[round % own.len()]];
         }
         for host in own {
             let zone = Arc::clone(&zone);
@@ -197,7 +197,7 @@
             self.send(host, &RouterMessage::Presence(presence));
         }
         let others = self.other_zones(&zone);
-        for other in self.context.zones_to_ask(&others, turn) {
+        for other in self.context.zones_to_ask(&others, round) {
             let hosts = self.registry_hosts(other);
             let Some(host) = hosts.choose(&mut rand::rng()) else { continue };
             let zone = Arc::clone(&zone);
--- a/crates/daemon/src/router/peers.rs
+++ b/crates/daemon/src/router/peers.rs
@@ -2,7 +2,7 @@
 //! targets, adapter versions and crash reports.
 
 use super::{
-    control::link::{ControlEvent, ControlLink, SnapshotReadiness},
+    control::context::{ControlContext, ControlEvent, SnapshotReadiness},
     follow::peer_changes,
     sharing::{self, CHANGES_PATH},
 };
@@ -55,34 +55,34 @@
 const IDLE_LIMIT: Duration = Duration::from_secs(5);
 
 /// Fetches snapshots from peers at the start and whenever the store is unreachable, until the process ends.
-pub(super) async fn fetch_snapshots(link: Rc<ControlLink>) {
+pub(super) async fn fetch_snapshots(context: Rc<ControlContext>) {
     let client = HttpClient::new();
     let began = clock::now();
     loop {
-        if link.bootstrap_upstream().is_some() {
+        if context.bootstrap_upstream().is_some() {
             sleep(BOOTSTRAP_PAUSE).await;
         } else {
             tokio::select! {
                 () = sleep(FETCH_PAUSE) => {}
-                () = link.wait_for_bootstrap_upstream() => {}
+                () = context.wait_for_bootstrap_upstream() => {}
             }
         }
-        let upstream = link.bootstrap_upstream();
+        let upstream = context.bootstrap_upstream();
         let is_early = clock::now().saturating_sub(began) < START_PAUSE;
-        if !link.is_lost() || (upstream.is_none() && is_early) {
+        if !context.is_lost() || (upstream.is_none() && is_early) {
             continue;
         }
-        let peer = upstream.or_else(|| link.peers().choose(&mut rand::rng()).copied());
+        let peer = upstream.or_else(|| context.peers().choose(&mut rand::rng()).copied());
         let Some(peer) = peer else { continue };
         let fetched = match upstream {
-            Some(upstream) => fetch_bootstrap(&client, upstream, &link).await,
-            None => fetch(&client, &known_uri(peer, &link), FETCH_LIMIT).await.map(Some),
+            Some(upstream) => fetch_bootstrap(&client, upstream, &context).await,
+            None => fetch(&client, &known_uri(peer, &context), FETCH_LIMIT).await.map(Some),
         };
         match fetched {
-            Ok(Some(snapshot)) => take_snapshot(snapshot, peer, &link).await,
+            Ok(Some(snapshot)) => take_snapshot(snapshot, peer, &context).await,
             Ok(None) => {}
             Err(error) => {
-                debug!(link.logger, "no snapshot from peer"; "step" => "peers", "peer" => %peer,
+                debug!(context.logger, "no snapshot from peer"; "step" => "peers", "peer" => %peer,
                     "error" => %format!("{error:#}"));
             }
         }
@@ -93,7 +93,7 @@
 async fn fetch_bootstrap(
     client: &HttpClient,
     upstream: SocketAddr,
-    link: &ControlLink,
+    context: &ControlContext,
 ) -> Result<Option<PeerSnapshot>> {
     let uri = url(upstream, BOOTSTRAP_PATH);
     let answer = client.call(Method::GET, &uri, Bytes::new(), BOOTSTRAP_LIMIT).await;
@@ -102,14 +102,14 @@
         _ => decode_snapshot(&uri, &answer).map(Some),
     });
     if fetched.is_err() {
-        link.abandon_bootstrap_upstream();
+        context.abandon_bootstrap_upstream();
     }
     fetched
 }
 
 /// URI of a peer's snapshot without the parts that this router already has.
-fn known_uri(peer: SocketAddr, link: &ControlLink) -> String {
-    let state = link.state.borrow();
+fn known_uri(peer: SocketAddr, context: &ControlContext) -> String {
+    let state = context.state.borrow();
     let list = state.list_hash().map_or_else(String::new, |list| format!(",{list}"));
     url(peer, &format!("{SNAPSHOT_PATH}?known={}{list}", state.config_number()))
 }
@@ -124,48 +124,48 @@
     postcard::from_bytes(&answer.body).wrap_err_with(|| format!("decode snapshot of {uri}"))
 }
 
-async fn take_snapshot(snapshot: PeerSnapshot, peer: SocketAddr, link: &ControlLink) {
-    link.take_revisions(&snapshot);
+async fn take_snapshot(snapshot: PeerSnapshot, peer: SocketAddr, context: &ControlContext) {
+    context.take_revisions(&snapshot);
     let mut changes = Vec::new();
     if let Some(record) = snapshot.config {
-        info!(link.logger, "configuration from a peer"; "step" => "peers", "peer" => %peer,
+        info!(context.logger, "configuration from a peer"; "step" => "peers", "peer" => %peer,
             "config" => record.number);
-        changes.extend(peer_changes::config_from_record(record, link));
+        changes.extend(peer_changes::config_from_record(record, context));
     }
     changes.extend(snapshot.releases.into_iter().map(|(base, name, version)| {
         FollowedChange::Release(AdapterRelease { adapter: AdapterId { base, name }, version })
     }));
     changes.extend(snapshot.crashes.into_iter().map(FollowedChange::Crashes));
     if !changes.is_empty() {
-        link.send(ControlEvent::Changed(changes)).await;
+        context.send(ControlEvent::Changed(changes)).await;
     }
     let Some(entries) = snapshot.targets else { return };
     // A list that the peer does not follow any more is used only if this router has none.
-    if snapshot.is_current || !link.state.borrow().is_complete() {
+    if snapshot.is_current || !context.state.borrow().is_complete() {
         let entries =
             entries.into_iter().map(|entry| FollowedChange::Target(ListChange::Put(entry)));
-        link.send(ControlEvent::Listed(FollowedKind::Targets, entries.collect())).await;
-        link.log_changed.notify_waiters();
+        context.send(ControlEvent::Listed(FollowedKind::Targets, entries.collect())).await;
+        context.log_changed.notify_waiters();
     }
 }
 
 /// Answers queries of peers until the process ends.
-pub(super) async fn serve(listener: TcpListener, link: Rc<ControlLink>) {
+pub(super) async fn serve(listener: TcpListener, context: Rc<ControlContext>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let link = Rc::clone(&link);
-                spawn_local(serve_peer(stream, link));
+                let context = Rc::clone(&context);
+                spawn_local(serve_peer(stream, context));
             }
             Err(_) => sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-async fn serve_peer(stream: TcpStream, link: Rc<ControlLink>) {
+async fn serve_peer(stream: TcpStream, context: Rc<ControlContext>) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let link = Rc::clone(&link);
-        async move { Ok::<_, Infallible>(answer(&request, &link).await) }
+        let context = Rc::clone(&context);
+        async move { Ok::<_, Infallible>(answer(&request, &context).await) }
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -174,17 +174,17 @@
         .await;
 }
 
-async fn answer(request: &Request<Incoming>, link: &ControlLink) -> Response<Full<Bytes>> {
+async fn answer(request: &Request<Incoming>, context: &ControlContext) -> Response<Full<Bytes>> {
     let query = request.uri().query().unwrap_or_default();
     let value = query.split_once('=').map_or("", |(_, value)| value);
     if request.uri().path() == CHANGES_PATH {
-        let (status, body) = sharing::answer(link, value).await;
+        let (status, body) = sharing::answer(context, value).await;
         let mut reply = Response::new(Full::new(body));
         *reply.status_mut() = status;
         return reply;
     }
     if request.uri().path() == BOOTSTRAP_PATH {
-        let denial = match link.snapshot_readiness(READ_WAIT).await {
+        let denial = match context.snapshot_readiness(READ_WAIT).await {
             SnapshotReadiness::Ready => None,
             SnapshotReadiness::NotYet => Some(NOT_YET),
             SnapshotReadiness::Denied => Some(StatusCode::SERVICE_UNAVAILABLE),
@@ -196,14 +196,14 @@
         }
     }
     let known: Vec<u64> = value.split(',').filter_map(|number| number.parse().ok()).collect();
-    answer_snapshot(request, known.first().copied().unwrap_or(0), known.get(1).copied(), link)
+    answer_snapshot(request, known.first().copied().unwrap_or(0), known.get(1).copied(), context)
 }
 
 fn answer_snapshot(
     request: &Request<Incoming>,
     number: ConfigNumber,
     list: Option<ListHash>,
-    link: &ControlLink,
+    context: &ControlContext,
 ) -> Response<Full<Bytes>> {
     let began = clock::now();
     let mut reply = Response::new(Full::default());
@@ -211,13 +211,13 @@
         *reply.status_mut() = StatusCode::NOT_FOUND;
         return reply;
     }
-    let state = link.state.borrow();
-    let snapshot = state.snapshot(number, list, link.is_current(), link.known_revisions());
+    let state = context.state.borrow();
+    let snapshot = state.snapshot(number, list, context.is_current(), context.known_revisions());
     match postcard::to_allocvec(&snapshot) {
         Ok(bytes) => *reply.body_mut() = Full::new(bytes.into()),
         Err(_) => *reply.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
     }
-    debug!(link.logger, "peer answered"; "step" => "peers", "status" => reply.status().as_u16(),
+    debug!(context.logger, "peer answered"; "step" => "peers", "status" => reply.status().as_u16(),
         "took_us" => clock::now().saturating_sub(began).as_micros() as u64);
     reply
 }
--- a/crates/daemon/src/router/permits.rs
+++ b/crates/daemon/src/router/permits.rs
@@ -93,15 +93,15 @@
         let pause = self.limits.refusal_pause(tag, retry_after.unwrap_or_default());
         let until = now + pause.mul_f64(0.5 + 0.5 * rand::random::<f64>());
         self.pool.borrow_mut().record_saturation(incarnation, until);
-        let mut grounds = format!("{incarnation} takes {rate} requests a second");
+        let mut reason = format!("{incarnation} takes {rate} requests a second");
         match self.limits.view_tag(tag, now) {
             Some(view) if view.age.is_some() => {
                 let age = view.age.unwrap_or_default().as_millis();
-                let _ = write!(grounds, ", left {:.1} as told {age} ms ago", view.left);
+                let _ = write!(reason, ", left {:.1} as told {age} ms ago", view.left);
             }
-            _ => grounds.push_str(", no meter heard"),
+            _ => reason.push_str(", no meter heard"),
         }
-        TargetPermit::Saturated(grounds)
+        TargetPermit::Saturated(reason)
     }
 
     /// Time until a used-up limit of a service's target may admit requests again; `None` if no target has one.
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -40,17 +40,17 @@
 /// breaks off.
 pub(crate) async fn read_plain(exchange: &mut CallExchange, answer: PendingAnswer) -> PlainRead {
     let PendingAnswer { head, body, connection, mut guard } = answer;
-    guard.answered();
+    guard.set_answered();
     exchange.record.first_byte.get_or_insert(exchange.age());
-    let whole = Limited::new(body, constants::ANSWER_LIMIT).collect();
+    let collected = Limited::new(body, constants::ANSWER_LIMIT).collect();
     let incarnation = guard.target().clone();
-    let read = timeout(exchange.time_left(), whole).await;
+    let read = timeout(exchange.time_left(), collected).await;
     let (outcome, result) = match read {
-        Ok(Ok(whole)) => {
+        Ok(Ok(collected)) => {
             let keep = calls::connection_life(head.headers());
             exchange.context.connections.put_back(connection, keep);
-            guard.survived();
-            let bytes = whole.to_bytes();
+            guard.set_survived();
+            let bytes = collected.to_bytes();
             (CallOutcome::Answered, PlainRead::Whole(head.map(|()| ReplyBody::new(bytes))))
         }
         Ok(Err(error)) => {
@@ -111,7 +111,7 @@
             match end {
                 StreamEnd::Complete => {
                     let keep = calls::connection_life(answer.head.headers());
-                    answer.guard.survived();
+                    answer.guard.set_survived();
                     self.exchange.context.connections.put_back(answer.connection, keep);
                     self.exchange.finish(CallEnd::Served, self.status);
                     return;
@@ -151,7 +151,7 @@
                 None if self.splitter.is_at_boundary() => return StreamEnd::Complete,
                 None => return StreamEnd::Broken("ended inside an event".into()),
             };
-            answer.guard.answered();
+            answer.guard.set_answered();
             self.exchange.record.first_byte.get_or_insert(self.exchange.age());
             let Some(events) = self.splitter.push(data) else { continue };
             tokio::select! {
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -1,6 +1,6 @@
 //! Follows the store through another router of the zone, and serves changes to routers that follow this one.
 
-use super::{control::link::ControlLink, follow::peer_changes};
+use super::{control::context::ControlContext, follow::peer_changes};
 use crate::clock;
 use bytes::Bytes;
 use eyre::{Result, WrapErr, ensure};
@@ -41,33 +41,33 @@
 const POLL_PAUSE: Duration = Duration::from_millis(100);
 
 /// Polls the upstream, whenever there is one, until the process ends.
-pub(super) async fn run(link: Rc<ControlLink>) {
-    let machine = SourceMachine::new(link.own_address());
-    let mut poller = UpstreamPoller { link, client: HttpClient::new(), machine };
+pub(super) async fn run(context: Rc<ControlContext>) {
+    let machine = SourceMachine::new(context.own_address());
+    let mut poller = UpstreamPoller { context, client: HttpClient::new(), machine };
     loop {
         poller.step().await;
     }
 }
 
 struct UpstreamPoller {
-    link: Rc<ControlLink>,
+    context: Rc<ControlContext>,
     client: HttpClient,
     machine: SourceMachine,
 }
 
 impl UpstreamPoller {
     async fn step(&mut self) {
-        let order = self.link.peer_view().same_zone;
+        let order = self.context.peer_view().same_zone;
         let view = SourceView {
             order: &order,
-            is_listed: self.link.is_listed(),
-            heard_at: self.link.confirmed_at.get(),
-            drain_time: self.link.drain_time(),
+            is_listed: self.context.is_listed(),
+            heard_at: self.context.confirmed_at.get(),
+            drain_time: self.context.drain_time(),
         };
         if let Some(reason) = self.machine.update(&view, clock::now()) {
-            info!(self.link.logger, "store followed directly"; "step" => "sharing",
+            info!(self.context.logger, "store followed directly"; "step" => "sharing",
                 "reason" => reason);
-            self.link.set_source(self.machine.source());
+            self.context.set_source(self.machine.source());
         }
         match self.machine.upstream(&order) {
             Some(upstream) => self.poll(upstream).await,
@@ -76,16 +76,16 @@
     }
 
     async fn poll(&mut self, upstream: SocketAddr) {
-        let (reply, reason) = match fetch_changes(&self.client, upstream, &self.link.revisions())
+        let (reply, reason) = match fetch_changes(&self.client, upstream, &self.context.revisions())
             .await
         {
             Ok(UpstreamAnswer::Changes(delta)) => {
                 self.machine.apply_reply(upstream, UpstreamReply::Changes, clock::now());
-                if self.link.set_source(self.machine.source()) {
-                    info!(self.link.logger, "store followed through a router"; "step" => "sharing",
+                if self.context.set_source(self.machine.source()) {
+                    info!(self.context.logger, "store followed through a router"; "step" => "sharing",
                         "peer" => %upstream);
                 }
-                peer_changes::apply_shared_delta(delta, &self.link).await;
+                peer_changes::apply_shared_delta(delta, &self.context).await;
                 return;
             }
             Ok(UpstreamAnswer::Denied) => {
@@ -97,7 +97,7 @@
             Err(error) => (UpstreamReply::Silent, format!("{error:#}")),
         };
         if self.machine.apply_reply(upstream, reply, clock::now()) {
-            warn!(self.link.logger, "upstream left"; "step" => "sharing", "peer" => %upstream,
+            warn!(self.context.logger, "upstream left"; "step" => "sharing", "peer" => %upstream,
                 "reason" => reason);
         } else {
             sleep(RETRY_PAUSE).await;
@@ -139,7 +139,7 @@
 }
 
 /// Answers another router's query for changes after `since`, as soon as there are any.
-pub(super) async fn answer(link: &ControlLink, since: &str) -> (StatusCode, Bytes) {
+pub(super) async fn answer(context: &ControlContext, since: &str) -> (StatusCode, Bytes) {
     let revisions: Vec<u64> = since.split(',').filter_map(|text| text.parse().ok()).collect();
     if revisions.len() != FollowedKind::ALL.len() {
         return (StatusCode::BAD_REQUEST, Bytes::new());
@@ -147,22 +147,22 @@
     let changed = async {
         loop {
             // Enabled before the check, so that a change between the two is not missed.
-            let mut woken = pin!(link.log_changed.notified());
+            let mut woken = pin!(context.log_changed.notified());
             woken.as_mut().enable();
-            if has_changes(link, &revisions) {
+            if has_changes(context, &revisions) {
                 return;
             }
             woken.await;
         }
     };
-    let _ = timeout(WAIT_LIMIT.min(link.fresh_for()), changed).await;
-    if !link.is_decided() {
+    let _ = timeout(WAIT_LIMIT.min(context.fresh_for()), changed).await;
+    if !context.is_decided() {
         return (DENIED, Bytes::new());
     }
-    if link.fresh_for().is_zero() {
+    if context.fresh_for().is_zero() {
         return (STALE, Bytes::new());
     }
-    let Some(delta) = delta_since(link, &revisions) else { return (DENIED, Bytes::new()) };
+    let Some(delta) = delta_since(context, &revisions) else { return (DENIED, Bytes::new()) };
     match postcard::to_allocvec(&delta) {
         Ok(bytes) => (StatusCode::OK, bytes.into()),
         Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
@@ -170,8 +170,8 @@
 }
 
 /// The changes since the given revisions; `None` unless this router follows all kinds.
-fn delta_since(link: &ControlLink, revisions: &[u64]) -> Option<SharedDelta> {
-    let logs = link.logs.borrow();
+fn delta_since(context: &ControlContext, revisions: &[u64]) -> Option<SharedDelta> {
+    let logs = context.logs.borrow();
     if logs.iter().any(|log| !log.is_followed()) {
         return None;
     }
@@ -183,19 +183,19 @@
         let snapshot = || KindDelta {
             revision: log.revision(),
             is_snapshot: true,
-            changes: link.kind_snapshot(kind),
+            changes: context.kind_snapshot(kind),
         };
         log.since(*revision).unwrap_or_else(snapshot)
     });
     Some(SharedDelta {
-        age_ms: age_of(link.confirmed_at.get()),
-        regained_ms: link.regained_at.get().filter(is_recent).map(age_of),
+        age_ms: age_of(context.confirmed_at.get()),
+        regained_ms: context.regained_at.get().filter(is_recent).map(age_of),
         kinds: kinds.collect(),
     })
 }
 
-fn has_changes(link: &ControlLink, revisions: &[u64]) -> bool {
-    let logs = link.logs.borrow();
+fn has_changes(context: &ControlContext, revisions: &[u64]) -> bool {
+    let logs = context.logs.borrow();
     let mut kinds = logs.iter().zip(revisions);
     kinds.any(|(log, revision)| log.has_changes(*revision))
 }
