--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -100,7 +100,7 @@
     let address = settings.borrow().peer_listen;
     let listener = server::bind(address, "peers' address").await?;
     let listener = listener.into_std().wrap_err("hand over peers' address")?;
-    let (sender, events) = mpsc::channel(control::RING_DEPTH);
+    let (sender, events) = mpsc::channel(control::QUEUE_CAPACITY);
     let inputs = ControlInputs {
         settings: settings.clone(),
         peers,
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -48,7 +48,7 @@
 }
 
 impl ConnectionPool {
-    /// Sends a request on a kept connection or a new one.
+    /// Sends a request on an idle connection of the pool, or on a new one.
     pub(crate) async fn send(
         &self,
         incarnation: &TargetIncarnation,
--- a/crates/daemon/src/router/constants.rs
+++ b/crates/daemon/src/router/constants.rs
@@ -91,7 +91,7 @@
 /// Interval of the maintenance ticks, which detect suspensions and expire old state.
 pub(crate) const TICK: Duration = Duration::from_millis(200);
 /// Capacity of the event queue from the control thread.
-pub(crate) const CONTROL_RING: usize = 256;
+pub(crate) const CONTROL_QUEUE: usize = 256;
 /// Rate limit of the request log, in lines per second; lines above it are counted and dropped.
 pub(crate) const LOG_RATE: f64 = 150.0;
 /// Burst of the request log, in lines.
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -154,7 +154,7 @@
 
 /// Adapter that a call needs.
 pub(crate) struct AdapterNeed<'a> {
-    /// The adapter.
+    /// Base model and name of the adapter.
     pub(crate) adapter: &'a AdapterId,
     /// Oldest version that may serve the call.
     pub(crate) version: AdapterVersion,
--- a/crates/daemon/src/router/control.rs
+++ b/crates/daemon/src/router/control.rs
@@ -45,7 +45,7 @@
 }
 
 /// Capacity of the event queue to the serving thread.
-pub(crate) const RING_DEPTH: usize = constants::CONTROL_RING;
+pub(crate) const QUEUE_CAPACITY: usize = constants::CONTROL_QUEUE;
 
 /// Runs the control thread's tasks until the process ends.
 pub(crate) async fn run(inputs: ControlInputs) {
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -41,7 +41,7 @@
     clock::now().saturating_sub(began) < constants::BASE_WAIT
 }
 
-/// Why a call gets no target's answer.
+/// Why no target's answer can be relayed for a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum GiveUpReason {
     /// It did not run and will not; with the time after which the caller may retry.
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -179,7 +179,7 @@
         self.context.record_advertised_state(&incarnation, proof, &head);
         let took = match proof {
             RunProof::Succeeded | RunProof::Failed => Some(latency),
-            // A queue that is full takes about as long as the objective.
+            // A target that refuses a call has a full queue, which takes about as long as the objective.
             RunProof::NotRun => Some(self.route.objective),
             RunProof::Misdirected | RunProof::Unknown => None,
         };
