--- a/crates/daemon/src/router/admission.rs
+++ b/crates/daemon/src/router/admission.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Retry delay for the caller; `None` if a retry would be rejected as well.
+    /// Retry delay for the caller; `None` if none is suggested.
     pub(super) fn pause(self) -> Option<Duration> {
         match self {
             Self::NoConfig | Self::MayBeNewKey => Some(constants::RETURN_PAUSE),
--- a/crates/daemon/src/router/advertised_state.rs
+++ b/crates/daemon/src/router/advertised_state.rs
@@ -19,7 +19,7 @@
             .is_none_or(|target| !target.is_draining() && !target.is_backing_off(now))
     }
 
-    /// Time until the first target of a service ends its backoff, if all its targets are backing off.
+    /// Time until the first target of a service ends its backoff, if all that can take calls are backing off.
     pub(crate) fn backoff_left(&self, service: &str) -> Option<Duration> {
         self.pool.borrow().backoff_left(service, clock::now())
     }
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -179,7 +179,7 @@
         self.context.record_advertised_state(&incarnation, proof, &head);
         let took = match proof {
             RunProof::Succeeded | RunProof::Failed => Some(latency),
-            // A target that refuses a call has a full queue, which takes about as long as the objective.
+            // A full queue takes about as long as the objective.
             RunProof::NotRun => Some(self.route.objective),
             RunProof::Misdirected | RunProof::Unknown => None,
         };
