--- a/crates/core/src/direct/limits.rs
+++ b/crates/core/src/direct/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that all routers keep together: each router uses slices that meters grant.
+//! Rate limits shared by all routers: meters grant slices of each limit to the routers.
 
 pub mod account;
 pub mod bucket;
@@ -7,5 +7,5 @@
 pub mod meters;
 pub mod terms;
 
-/// Stable hash of what a limit is of, short enough for each report of use.
+/// Stable hash of the customer or target incarnation that a limit applies to; short, as each usage report carries it.
 pub type LimitTag = u64;
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -1,7 +1,7 @@
-//! What calls use of limits at one router, out of slices that meters grant.
+//! One router's accounts of shared limits, filled with slices that meters grant.
 //!
-//! A call that fits into what the router holds goes on at once. One that does not waits for the trip to its
-//! limit's meter, a few milliseconds. A router that reaches no meter uses an even share of each limit, which
+//! A call that fits into the units that the router holds is admitted at once. Otherwise it waits for a round trip to
+//! the limit's meter, a few milliseconds. A router that reaches no meter uses an even share of each limit, which
 //! the meters do not grant to others.
 
 mod state;
@@ -11,8 +11,8 @@
 use super::{
     LimitTag,
     messages::{LimitGrant, MeterTag, UsageGrant, UsageReport, UsageRequest},
-    meters::{MeterTable, first_meter, report_pause, report_ttl},
-    terms::{FleetSize, LimitRule, LimitShares, RETURN_LIMIT, UsageCost, UsageLimit},
+    meters::{MeterTable, assigned_meter, report_pause, report_ttl},
+    terms::{FleetSize, LimitRule, LimitShares, REFUND_LIMIT, UsageCost, UsageLimit},
 };
 use crate::{
     direct::{config::ConfigNumber, membership::InstanceId, target_limit::LimitUpdate},
@@ -23,51 +23,50 @@
 
 pub use waiting::CallTicket;
 
-/// Longest wait of a call for a grant. A meter that is out of reach is given up before, and another one
-/// asked.
+/// Longest wait of a call for a grant. It exceeds the time after which an unreachable meter is replaced by another.
 const WAIT_LIMIT: Duration = Duration::from_secs(1);
-/// Pause before an unanswered question is asked again: datagrams are lost at times.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// Questions a second of all routers to a meter that has nothing left of a limit.
-const ASK_RATE: f64 = 100.0;
-/// The same for each unit a second of the limit, so that routers are there when units are.
-const ASKS_PER_UNIT: f64 = 4.0;
+/// Pause before an unanswered request is sent again, as datagrams may be lost.
+const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Requests a second, from all routers together, to a meter that has no units left of a limit.
+const REFUSED_REQUEST_RATE: f64 = 100.0;
+/// The same for each unit a second of the limit, so that routers claim new units soon after they are refilled.
+const REFUSED_REQUESTS_PER_UNIT: f64 = 4.0;
 /// Shortest pause after a refusal.
-const TURN_LOOK: Duration = Duration::from_millis(100);
-/// Longest pause after a refusal: the limit may have ended, and what then comes first tells so.
-const LONGEST_REST: Duration = Duration::from_secs(3);
-/// Time after which an account that no call used is dropped.
+const MIN_REFUSAL_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause after a refusal: the limit may have ended meanwhile, which only another attempt shows.
+const MAX_REFUSAL_PAUSE: Duration = Duration::from_secs(3);
+/// Time after its last use at which an account is dropped.
 const ACCOUNT_TTL: Duration = Duration::from_mins(1);
 
-/// Whether a call may go on.
+/// Whether a limit admits a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SpendDecision {
-    /// It may, and is counted.
+    /// The call is admitted and its cost is counted.
     Granted,
     /// The limit is used up.
     Refused {
-        /// When it may be granted; `None` if it exceeds the limit by itself.
+        /// Time after which it may be admitted; `None` if its cost alone exceeds the limit.
         retry_after: Option<Duration>,
     },
 }
 
-/// What becomes of a call.
+/// Result of charging a call to a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SpendResult {
-    /// It is decided.
+    /// The limit admits or refuses the call at once.
     Decided(SpendDecision),
-    /// It waits for its limit's meter.
+    /// The call waits for a grant of its limit's meter.
     Waiting(CallTicket),
 }
 
-/// What a router knows of one limit, for logs and operators.
+/// State of one limit at a router, for logs and operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountView {
     /// Units a second, over all routers.
     pub rate: f64,
     /// Units used at this router within the last window.
     pub used: u64,
-    /// Units left over all routers, as last told.
+    /// Units left over all routers, as its meter last reported.
     pub left: f64,
     /// Age of that figure; `None` if no meter has reported any yet.
     pub age: Option<Duration>,
@@ -84,12 +83,12 @@
     meters: MeterTable,
     accounts: HashMap<LimitTag, LimitAccount>,
     decided: Vec<(CallTicket, SpendDecision)>,
-    /// Whether a report is due at once, with the meters that can be reached now and targets' limits.
+    /// Whether a report is due at once, because the reachable meters or targets' limits have changed.
     is_report_due: bool,
 }
 
 impl AccountTable {
-    /// Starts with nothing used; `boot` tells this start from others.
+    /// Starts with nothing used; `boot` identifies this start of the router.
     pub fn new(boot: BootId, now: Timestamp) -> Self {
         Self {
             boot,
@@ -104,15 +103,15 @@
         }
     }
 
-    /// Takes the number of routers and the targets beside which meters stand.
+    /// Sets the number of routers, and the targets whose loaders run meters.
     pub fn set_fleet(&mut self, fleet: FleetSize, targets: Vec<InstanceId>, now: Timestamp) {
         self.fleet = fleet;
         self.meters.set_targets(targets, now);
         self.refresh(now);
     }
 
-    /// Takes the limits of a configuration. All accounts have them from then on: what is asked for under its
-    /// number must not stem from an older one, or a meter would go back to that for all routers.
+    /// Applies the limits of a newer configuration to all accounts at once. A request that carries the new number with an
+    /// old limit would make the meter apply the old limit to all routers.
     pub fn set_limits(&mut self, config: ConfigNumber, limits: &HashMap<LimitTag, UsageLimit>) {
         if config <= self.config {
             return;
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Whether there are meters that may keep limits.
+    /// Whether any meter is known, reachable or not.
     pub fn knows_meters(&self) -> bool {
         !self.meters.links().is_empty()
     }
@@ -138,11 +137,11 @@
         let reachable = self.meters.reachable();
         for (tag, account) in &mut self.accounts {
             let shares = account.shares(self.fleet);
-            account.set_meter(first_meter(*tag, reachable), &shares, now);
+            account.set_meter(assigned_meter(*tag, reachable), &shares, now);
         }
     }
 
-    /// Counts a call against a limit.
+    /// Charges a call to a limit.
     pub fn spend(
         &mut self,
         tag: LimitTag,
@@ -160,12 +159,12 @@
         let seed = self.boot ^ tag;
         let account = self.accounts.entry(tag).or_insert_with(|| {
             let mut account = LimitAccount::new(*rule, seed, now);
-            account.meter = first_meter(tag, reachable);
+            account.meter = assigned_meter(tag, reachable);
             account
         });
         account.used = now;
         account.rule = *rule;
-        account.refill_alone(&shares, ttl, now);
+        account.refill_meterless(&shares, ttl, now);
         if account.waiting.is_empty() && account.fits(cost, &shares) {
             account.spend(cost, now);
             return SpendResult::Decided(SpendDecision::Granted);
@@ -176,23 +175,23 @@
         SpendResult::Waiting(account.waiting.push(tag, cost, now))
     }
 
-    /// Refunds a call that was counted at `spent` and not run.
+    /// Refunds a call that was charged at `spent` and did not run, unless [`REFUND_LIMIT`] has passed.
     pub fn refund(&mut self, tag: LimitTag, cost: UsageCost, spent: Timestamp, now: Timestamp) {
         let Some(account) = self.accounts.get_mut(&tag) else { return };
-        if now.saturating_sub(spent) < RETURN_LIMIT {
+        if now.saturating_sub(spent) < REFUND_LIMIT {
             account.balance += f64::from(cost);
             account.window.add(-i64::from(cost), now);
         }
     }
 
-    /// Cancels a call that waits, as its caller has gone.
+    /// Cancels a waiting call whose caller has disconnected.
     pub fn cancel(&mut self, ticket: CallTicket) {
         if let Some(account) = self.accounts.get_mut(&ticket.tag) {
             account.waiting.remove(ticket);
         }
     }
 
-    /// Takes what a meter answers.
+    /// Applies a meter's answer to a report.
     pub fn take_grant(&mut self, grant: &UsageGrant, now: Timestamp) {
         let Some(link) = self.meters.link_mut(grant.meter) else { return };
         link.note_answer(now);
@@ -208,15 +207,15 @@
         if account.meter != Some(grant.meter) {
             return;
         }
-        let asked = account.asked.filter(|(sequence, _)| *sequence <= grant.sequence);
+        let pending = account.pending.filter(|(sequence, _)| *sequence <= grant.sequence);
         if account.enrolment != grant.enrolment {
-            // The meter has just heard of this router, and will answer the next report.
+            // The meter has just enrolled this router; it grants units in answer to the next report.
             account.forget_grants(grant.enrolment);
             return;
         }
         let Some(known) = account.granted else {
             account.granted = Some(granted.granted);
-            account.asked = None;
+            account.pending = None;
             return;
         };
         account.balance += granted.granted.saturating_sub(known) as f64;
@@ -227,18 +226,20 @@
             is_settled: granted.is_settled,
             at: now,
         });
-        let Some((sequence, _)) = asked else { return };
+        let Some((sequence, _)) = pending else { return };
         if granted.is_settled {
-            account.asked = None;
+            account.pending = None;
         }
-        // What was not granted is not wanted any more: it is asked for anew.
+        // Drops the part of the request that was not granted; the next report requests it again.
         account.wanted = known.max(granted.granted);
         let shares = account.shares(self.fleet);
-        while let Some((ticket, cost, asked_in)) = account.waiting.first() {
+        while let Some((ticket, cost, requested_in)) = account.waiting.first() {
             let decision = if account.fits(cost, &shares) {
                 account.spend(cost, now);
                 SpendDecision::Granted
-            } else if granted.is_settled && asked_in.is_some_and(|asked_in| asked_in <= sequence) {
+            } else if granted.is_settled
+                && requested_in.is_some_and(|requested_in| requested_in <= sequence)
+            {
                 account.refusal(cost, &shares, now)
             } else {
                 break;
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Decides calls that have waited too long, and drops accounts that are not used any more.
+    /// Decides calls that have waited too long, and drops unused accounts.
     pub fn expire(&mut self, now: Timestamp) {
         self.refresh(now);
         let ttl = report_ttl(self.fleet.known);
@@ -256,7 +257,7 @@
         for account in self.accounts.values_mut() {
             let shares = account.shares(self.fleet);
             account.drop_unused(&shares, now);
-            account.refill_alone(&shares, ttl, now);
+            account.refill_meterless(&shares, ttl, now);
             while let Some((ticket, cost, _)) = account.waiting.first() {
                 let has_waited = now.saturating_sub(ticket.began) >= WAIT_LIMIT;
                 if (account.meter.is_some() || is_awaited) && !has_waited {
@@ -277,14 +278,14 @@
         });
     }
 
-    /// Calls that have been decided since this was last asked.
+    /// Waiting calls that were decided since the last call of this function.
     pub fn take_decided(&mut self) -> Vec<(CallTicket, SpendDecision)> {
         std::mem::take(&mut self.decided)
     }
 
-    /// Reports that are due, each with the target beside which its meter stands.
+    /// Reports that are due, each with the target whose loader runs the meter.
     ///
-    /// Each carries `limit_updates` of targets' limits.
+    /// Each report carries `limit_updates`, updates of targets' limits.
     pub fn take_reports(
         &mut self,
         limit_updates: &[LimitUpdate],
@@ -328,10 +329,10 @@
         reports
     }
 
-    /// What is to be asked of a meter now, for the report that is sent next.
+    /// Usage requests to a meter for the next report.
     fn requests(&mut self, meter: MeterTag, enrolment: u64, now: Timestamp) -> Vec<UsageRequest> {
         let sequence = self.sequence + 1;
-        let lived = now.saturating_sub(self.started);
+        let uptime = now.saturating_sub(self.started);
         let mut requests = Vec::new();
         for (tag, account) in &mut self.accounts {
             if account.meter != Some(meter) {
@@ -342,24 +343,25 @@
             }
             let shares = account.shares(self.fleet);
             let missing = account.missing(&shares);
-            let is_asked = account.asked.is_some_and(|(_, at)| now.saturating_sub(at) < ASK_PAUSE);
-            let has_new = account.waiting.has_unasked();
+            let is_pending =
+                account.pending.is_some_and(|(_, at)| now.saturating_sub(at) < REQUEST_RETRY_PAUSE);
+            let has_unrequested_calls = account.waiting.has_unrequested();
             if missing < 1.0
-                || (is_asked && !has_new)
-                || (account.is_scarce(&shares, now) && !has_new)
+                || (is_pending && !has_unrequested_calls)
+                || (account.is_scarce(&shares, now) && !has_unrequested_calls)
             {
                 continue;
             }
             account.wanted = account.granted.map_or(0, |granted| granted + missing as u64);
-            account.asked = Some((sequence, now));
-            account.waiting.note_asked(sequence);
+            account.pending = Some((sequence, now));
+            account.waiting.note_requested(sequence);
             requests.push(UsageRequest {
                 tag: *tag,
                 rate: shares.rate as f32,
                 capacity: shares.capacity as f32,
                 overdraft: shares.overdraft as f32,
-                // What an earlier start of this router used is not known.
-                is_quiet: lived >= account.rule.terms.window && account.is_quiet(now),
+                // Use by an earlier start of this router within the window is unknown.
+                is_quiet: uptime >= account.rule.terms.window && account.is_quiet(now),
                 wanted: account.wanted,
                 needed: account.needed() as u32,
                 first: account.waiting.first().map_or(0, |(_, cost, _)| cost),
@@ -368,33 +370,34 @@
         requests
     }
 
-    /// Has reports with what this router knows of targets' limits sent to the meters at once.
+    /// Makes reports to all meters due at once, so that they carry new limits of targets.
     pub fn report_limits_now(&mut self) {
         self.is_report_due = true;
     }
 
-    /// Time for which a limit that is used up is best left alone, where units will be there after `retry_after`.
+    /// Pause before this router tries a limit again that refused a call, where units are expected after `retry_after`.
     ///
-    /// With hundreds of routers the meter would otherwise be asked for each call that any of them would like to
-    /// send. Without a meter, a turn may come at any time.
+    /// Without the pause, hundreds of routers would send the meter a request for each call that could go to the target.
+    /// Without a meter, the pause is the shortest one, as a unit may be drawn at any time.
     pub fn refusal_pause(&self, tag: LimitTag, retry_after: Duration) -> Duration {
         let account = self.accounts.get(&tag);
         let Some(account) = account.filter(|account| account.meter.is_some()) else {
-            return TURN_LOOK;
+            return MIN_REFUSAL_PAUSE;
         };
-        let ask_rate = ASK_RATE.max(ASKS_PER_UNIT * account.rule.limit.rate);
-        let fair = Duration::from_secs_f64(self.fleet.known as f64 / ask_rate);
-        fair.max(retry_after / 2).clamp(TURN_LOOK, LONGEST_REST)
+        let request_rate =
+            REFUSED_REQUEST_RATE.max(REFUSED_REQUESTS_PER_UNIT * account.rule.limit.rate);
+        let fair_pause = Duration::from_secs_f64(self.fleet.known as f64 / request_rate);
+        fair_pause.max(retry_after / 2).clamp(MIN_REFUSAL_PAUSE, MAX_REFUSAL_PAUSE)
     }
 
-    /// Whether a limit's meter is to be asked now.
+    /// Whether the router's units of a limit are low, and no request for more is pending.
     pub fn is_low(&self, tag: LimitTag) -> bool {
         let Some(account) = self.accounts.get(&tag) else { return false };
         let shares = account.shares(self.fleet);
-        account.meter.is_some() && account.asked.is_none() && account.missing(&shares) >= 1.0
+        account.meter.is_some() && account.pending.is_none() && account.missing(&shares) >= 1.0
     }
 
-    /// What is known of a limit's use.
+    /// State of a limit; `None` if no call used it lately.
     pub fn view(&self, tag: LimitTag, now: Timestamp) -> Option<AccountView> {
         let account = self.accounts.get(&tag)?;
         let status = account.status;
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -1,4 +1,4 @@
-//! The account of one limit at one router: what it holds, what it has asked for, and who waits.
+//! The account of one limit at one router: units held, units requested, and waiting calls.
 
 use super::{SpendDecision, waiting::WaitingCalls, window::UsageWindow};
 use crate::{
@@ -11,25 +11,25 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time for which a meter's status is believed. Calls beyond a limit, and slices that are not granted, then cost
-/// no trip each.
+/// Time for which a meter's status is used without a new request. Within it, calls beyond the limit and slices that
+/// would not be granted cost no round trip.
 const STATUS_TTL: Duration = Duration::from_millis(50);
-/// Slices that a meter must have left to give one out whole.
+/// Slices that a meter must have left to grant a full one.
 const SCARCE_SLICES: f64 = 10.0;
 /// Time from the first call under a limit to the first grant.
 const FIRST_GRANT_TIME: Duration = Duration::from_millis(300);
-/// Shortest time after which a call that was beyond its limit is worth sending again.
-const LEAST_PAUSE: Duration = Duration::from_millis(200);
-/// Longest time after which a caller is told to come back; by then much may have changed.
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
-/// Time for which a router holds more than a slice that it does not use.
-const HOLD_TTL: Duration = Duration::from_secs(1);
-/// Part of the limit for which units are drawn: several routers draw one at the same time now and then.
-const TURN_SHARE: f64 = 0.5;
+/// Shortest time stated to a refused call after which it may be sent again.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Longest time stated to a refused call; an estimate beyond it is unreliable.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Idle time after which a router drops the units that it holds beyond one slice.
+const SURPLUS_TTL: Duration = Duration::from_secs(1);
+/// Part of the limit that is given out by draws; the rest covers routers that draw a unit at the same time.
+const DRAW_SHARE: f64 = 0.5;
 /// Time for which a drawn unit may be used.
-const TURN_TTL: Duration = Duration::from_secs(1);
+const DRAWN_TTL: Duration = Duration::from_secs(1);
 
-/// What a meter last reported of a limit.
+/// A limit's state as its meter last reported it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeterStatus {
     pub(super) left: f64,
@@ -38,34 +38,35 @@
     pub(super) at: Timestamp,
 }
 
-/// The account of one limit.
+/// Units of one limit that a router holds and requests, and the calls that wait for them.
 #[derive(Debug)]
 pub(super) struct LimitAccount {
     pub(super) rule: LimitRule,
-    /// Seed of the draws without a meter.
+    /// Seed of the draws made while there is no meter.
     seed: u64,
-    /// Units that may be used without asking; below 0 where calls went ahead of their grant.
+    /// Units that may be used without a request; below 0 where calls were admitted before their grant.
     pub(super) balance: f64,
     pub(super) window: UsageWindow,
     pub(super) meter: Option<MeterTag>,
     /// Since when there is no meter.
-    pub(super) alone_since: Timestamp,
+    pub(super) meterless_since: Timestamp,
     pub(super) refilled: Timestamp,
     /// When it last drew a unit without a meter.
     drawn: Timestamp,
     pub(super) enrolment: u64,
-    /// Units granted since the enrolment; none before the meter has said.
+    /// Units granted since the enrolment; `None` until the meter has reported them.
     pub(super) granted: Option<u64>,
     pub(super) wanted: u64,
-    pub(super) asked: Option<(u32, Timestamp)>,
+    /// Sequence number and time of the report with the last unanswered request.
+    pub(super) pending: Option<(u32, Timestamp)>,
     pub(super) status: Option<MeterStatus>,
     pub(super) waiting: WaitingCalls,
     pub(super) used: Timestamp,
     pub(super) spent: Option<Timestamp>,
-    /// When calls began to use it after a window without use.
+    /// First use after a window without any.
     pub(super) busy_since: Option<Timestamp>,
-    /// Whether some of it may have been used that this meter has not granted.
-    pub(super) has_moved: bool,
+    /// Whether units may have been used that the current meter has not granted.
+    pub(super) has_unmetered_use: bool,
 }
 
 impl LimitAccount {
@@ -76,19 +77,19 @@
             balance: 0.0,
             window: UsageWindow::new(rule.terms.window),
             meter: None,
-            alone_since: now,
+            meterless_since: now,
             refilled: now,
             drawn: Duration::ZERO,
             enrolment: 0,
             granted: None,
             wanted: 0,
-            asked: None,
+            pending: None,
             status: None,
             waiting: WaitingCalls::default(),
             used: now,
             spent: None,
             busy_since: None,
-            has_moved: rule.is_used_before,
+            has_unmetered_use: rule.is_used_before,
         }
     }
 
@@ -96,11 +97,11 @@
         LimitShares::new(&self.rule, fleet)
     }
 
-    /// Whether no call has used the limit lately, but for those that ask for their first grant: a meter that
-    /// is new to the limit may then give out all that the limit allows at once.
+    /// Whether no call used the limit lately, apart from those that wait for the first grant. A meter that is new to the
+    /// limit may then grant the full burst.
     pub(super) fn is_quiet(&self, now: Timestamp) -> bool {
-        let has_begun = |since| now.saturating_sub(since) < FIRST_GRANT_TIME;
-        !self.has_moved && self.busy_since.is_none_or(has_begun)
+        let is_recent = |since| now.saturating_sub(since) < FIRST_GRANT_TIME;
+        !self.has_unmetered_use && self.busy_since.is_none_or(is_recent)
     }
 
     pub(super) fn fits(&self, cost: UsageCost, shares: &LimitShares) -> bool {
@@ -117,18 +118,18 @@
         self.window.add(i64::from(cost), now);
     }
 
-    /// What its meter has just reported, if no call waits for more.
+    /// The meter's status, if it is fresh and no call waits.
     pub(super) fn fresh_status(&self, now: Timestamp) -> Option<&MeterStatus> {
         let status = self.status.as_ref().filter(|_| self.waiting.is_empty());
         status.filter(|status| now.saturating_sub(status.at) < STATUS_TTL)
     }
 
-    /// Whether its meter has just reported that nothing is left.
+    /// Whether the meter has just reported that no units are left.
     pub(super) fn is_short(&self, now: Timestamp) -> bool {
         self.fresh_status(now).is_some_and(|status| status.is_settled && status.left <= 0.0)
     }
 
-    /// Whether its meter has just reported that too little is left to give out whole slices.
+    /// Whether the meter has just reported too few units to grant full slices.
     pub(super) fn is_scarce(&self, shares: &LimitShares, now: Timestamp) -> bool {
         self.fresh_status(now).is_some_and(|status| status.left < SCARCE_SLICES * shares.slice)
     }
@@ -148,17 +149,17 @@
         };
         let missing = (f64::from(cost) - left).max(0.0);
         let seconds = missing / rate.max(f64::MIN_POSITIVE);
-        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_PAUSE);
-        SpendDecision::Refused { retry_after: Some(wait.clamp(LEAST_PAUSE, LONGEST_PAUSE)) }
+        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER);
+        SpendDecision::Refused { retry_after: Some(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)) }
     }
 
-    /// Units that the calls that wait need beyond what there is.
+    /// Units that the waiting calls need beyond the balance.
     pub(super) fn needed(&self) -> f64 {
         (self.waiting.cost() as f64 - self.balance).max(0.0).ceil()
     }
 
-    /// Whole units to ask for now: what fills the slice again, and what the calls that wait need. Slices are not
-    /// rounded up: with hundreds of routers, that alone could be more than a small limit.
+    /// Whole units to request now: those that refill the slice, and those that waiting calls need. Slices are not
+    /// rounded up: with hundreds of routers, the rounding alone could exceed a small limit.
     pub(super) fn missing(&self, shares: &LimitShares) -> f64 {
         let waiting = self.waiting.cost() as f64;
         if waiting > 0.0 || self.balance < shares.slice / 2.0 {
@@ -168,16 +169,16 @@
         }
     }
 
-    /// Drops what was granted beyond a slice and not used at once, as where a caller left: the bucket counts it
-    /// as used, and used later it would add to what is granted then.
+    /// Drops idle units beyond one slice, such as those of a caller that disconnected. The meter's bucket counts them as
+    /// used when they were granted; used later, they would add to what is granted then.
     pub(super) fn drop_unused(&mut self, shares: &LimitShares, now: Timestamp) {
-        let is_idle = self.waiting.is_empty() && now.saturating_sub(self.used) >= HOLD_TTL;
+        let is_idle = self.waiting.is_empty() && now.saturating_sub(self.used) >= SURPLUS_TTL;
         if self.meter.is_some() && is_idle {
             self.balance = self.balance.min(shares.slice);
         }
     }
 
-    /// Goes over to the limit's meter among those that can be reached.
+    /// Sets the meter that serves the limit; `None` if none can be reached.
     pub(super) fn set_meter(
         &mut self,
         meter: Option<MeterTag>,
@@ -187,12 +188,12 @@
         if self.meter == meter {
             return;
         }
-        self.has_moved |= self.spent.is_some();
+        self.has_unmetered_use |= self.spent.is_some();
         if meter.is_none() {
-            self.alone_since = now;
+            self.meterless_since = now;
             self.refilled = now;
         } else {
-            // What came together alone is in the meter's bucket too.
+            // The meter's bucket also contains the units that were refilled without a meter.
             self.balance = self.balance.min(shares.slice);
         }
         self.meter = meter;
@@ -200,18 +201,19 @@
         self.status = None;
     }
 
-    /// Starts anew with a meter. What it has granted before is heard first: the router may have used it and
-    /// another one by turns.
+    /// Resets the grants of a meter. The router learns the meter's count of earlier grants before it requests more, as it
+    /// may have alternated between this meter and another.
     pub(super) fn forget_grants(&mut self, enrolment: u64) {
         self.enrolment = enrolment;
         self.granted = None;
         self.wanted = 0;
-        self.asked = None;
+        self.pending = None;
     }
 
-    /// Adds what a router that reaches no meter may use by itself, once no meter counts it any more.
-    pub(super) fn refill_alone(&mut self, shares: &LimitShares, ttl: Duration, now: Timestamp) {
-        let from = self.refilled.max(self.alone_since + ttl);
+    /// Refills the balance at the even rate while the router reaches no meter. It begins `ttl` after the last meter was
+    /// lost: until then the meters still count this router and grant its share.
+    pub(super) fn refill_meterless(&mut self, shares: &LimitShares, ttl: Duration, now: Timestamp) {
+        let from = self.refilled.max(self.meterless_since + ttl);
         if self.meter.is_some() || now <= from {
             return;
         }
@@ -220,18 +222,18 @@
         if shares.even_capacity >= 1.0 {
             self.balance = (self.balance + units).min(self.balance.max(shares.even_capacity));
         } else {
-            self.draw_turn(units, now);
+            self.draw_unit(units, now);
         }
     }
 
-    /// Draws whether one unit may be used, where a router's even share never holds a whole one. Saved-up shares of all
-    /// routers could be used at the same moment; drawn units are spread over time, and lapse.
-    fn draw_turn(&mut self, units: f64, now: Timestamp) {
+    /// Draws at random whether one unit may be used, where a router's even share never holds a whole unit. If routers
+    /// accumulated their shares, all could use them at the same moment; drawn units are spread over time, and expire.
+    fn draw_unit(&mut self, units: f64, now: Timestamp) {
         let draw = xxh3_64_with_seed(&now.as_nanos().to_le_bytes(), self.seed);
-        if (draw as f64) < TURN_SHARE * units * u64::MAX as f64 {
+        if (draw as f64) < DRAW_SHARE * units * u64::MAX as f64 {
             self.balance = 1.0;
             self.drawn = now;
-        } else if now.saturating_sub(self.drawn) >= TURN_TTL {
+        } else if now.saturating_sub(self.drawn) >= DRAWN_TTL {
             self.balance = self.balance.min(0.0);
         }
     }
--- a/crates/core/src/direct/limits/account/waiting.rs
+++ b/crates/core/src/direct/limits/account/waiting.rs
@@ -1,4 +1,4 @@
-//! Calls under one limit that wait for a grant, in the order in which they came.
+//! Calls under one limit that wait for a grant, in order of arrival.
 
 use crate::{
     direct::limits::{LimitTag, terms::UsageCost},
@@ -6,10 +6,10 @@
 };
 use std::collections::VecDeque;
 
-/// A call that waits.
+/// Identifies a waiting call.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct CallTicket {
-    /// Its limit.
+    /// The limit that it waits for.
     pub tag: LimitTag,
     /// When it began to wait.
     pub began: Timestamp,
@@ -20,11 +20,11 @@
 struct WaitingCall {
     ticket: CallTicket,
     cost: UsageCost,
-    /// First report in which its cost was asked for.
-    asked_in: Option<u32>,
+    /// Sequence number of the first report that requested its cost; `None` before that.
+    requested_in: Option<u32>,
 }
 
-/// A line of calls.
+/// FIFO queue of the waiting calls.
 #[derive(Debug, Default)]
 pub(super) struct WaitingCalls {
     calls: VecDeque<WaitingCall>,
@@ -36,7 +36,7 @@
         self.calls.is_empty()
     }
 
-    /// What all of them cost.
+    /// Total cost in units.
     pub(super) fn cost(&self) -> u64 {
         self.calls.iter().map(|call| u64::from(call.cost)).sum()
     }
@@ -45,13 +45,13 @@
     pub(super) fn push(&mut self, tag: LimitTag, cost: UsageCost, now: Timestamp) -> CallTicket {
         let ticket = CallTicket { tag, began: now, number: self.next };
         self.next += 1;
-        self.calls.push_back(WaitingCall { ticket, cost, asked_in: None });
+        self.calls.push_back(WaitingCall { ticket, cost, requested_in: None });
         ticket
     }
 
-    /// The first call, its cost, and the first report that asked for it.
+    /// The first call, its cost, and the first report that requested it.
     pub(super) fn first(&self) -> Option<(CallTicket, UsageCost, Option<u32>)> {
-        self.calls.front().map(|call| (call.ticket, call.cost, call.asked_in))
+        self.calls.front().map(|call| (call.ticket, call.cost, call.requested_in))
     }
 
     pub(super) fn pop(&mut self) {
@@ -62,15 +62,15 @@
         self.calls.retain(|call| call.ticket != ticket);
     }
 
-    /// Whether a call waits whose cost no report has asked for.
-    pub(super) fn has_unasked(&self) -> bool {
-        self.calls.iter().any(|call| call.asked_in.is_none())
+    /// Whether the cost of any waiting call was not requested yet.
+    pub(super) fn has_unrequested(&self) -> bool {
+        self.calls.iter().any(|call| call.requested_in.is_none())
     }
 
-    /// The report `sequence` asks for all of them.
-    pub(super) fn note_asked(&mut self, sequence: u32) {
+    /// Notes that report `sequence` requests the cost of all waiting calls.
+    pub(super) fn note_requested(&mut self, sequence: u32) {
         for call in &mut self.calls {
-            call.asked_in.get_or_insert(sequence);
+            call.requested_in.get_or_insert(sequence);
         }
     }
 }
--- a/crates/core/src/direct/limits/account/window.rs
+++ b/crates/core/src/direct/limits/account/window.rs
@@ -3,10 +3,10 @@
 use crate::ids::Timestamp;
 use std::time::Duration;
 
-/// Steps into which the window is cut; a step's units leave the window together.
+/// Steps that the window is divided into; all units of a step leave the window together.
 const WINDOW_STEPS: u64 = 16;
 
-/// Units of the last window.
+/// Units used within the last window.
 #[derive(Clone, Debug)]
 pub(super) struct UsageWindow {
     step: Duration,
@@ -34,7 +34,7 @@
         self.steps.iter().filter(|(number, _)| *number >= first).map(|(_, units)| units).sum()
     }
 
-    /// Numbers start above the window, so that a fresh array counts as outside of it.
+    /// Step numbers start beyond one window, so that the initial array counts as expired.
     fn number(&self, now: Timestamp) -> u64 {
         (now.as_nanos() / self.step.as_nanos()) as u64 + 2 * WINDOW_STEPS
     }
--- a/crates/core/src/direct/limits/bucket.rs
+++ b/crates/core/src/direct/limits/bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::Timestamp;
 
-/// Units that may still be used: refilled at a rate, up to a capacity, and below 0 while overdrawn.
+/// Units that may still be used, refilled at a rate up to a capacity; below 0 while overdrawn.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     level: f64,
@@ -10,12 +10,12 @@
 }
 
 impl TokenBucket {
-    /// Starts with so many units.
+    /// Starts with `level` units.
     pub fn new(level: f64, now: Timestamp) -> Self {
         Self { level, refilled: now }
     }
 
-    /// Refills for the time since the last call; returns what there is.
+    /// Refills for the time since the last refill; returns the level.
     pub fn refill(&mut self, rate: f64, capacity: f64, now: Timestamp) -> f64 {
         let passed = now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = self.refilled.max(now);
@@ -23,12 +23,12 @@
         self.level
     }
 
-    /// What there was at the last refill.
+    /// Level without a refill for the time since the last one.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Takes units out, also beyond what there is.
+    /// Removes units; the level may fall below 0.
     pub fn take(&mut self, units: f64) {
         self.level -= units;
     }
--- a/crates/core/src/direct/limits/messages.rs
+++ b/crates/core/src/direct/limits/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between routers and meters about what limits are used.
+//! Messages between routers and meters: usage reports and grants.
 
 use super::LimitTag;
 use crate::{
@@ -8,81 +8,81 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Short stable hash of the target beside which a meter stands.
+/// Short stable hash that identifies a meter: that of the id of the target whose loader runs it.
 pub type MeterTag = u32;
 
-/// Number that a meter gives a router when it first hears of it.
+/// Number that a meter assigns to a router on its first report.
 pub type EnrolmentId = u64;
 
-/// Hash by which all routers know the meter beside a target.
+/// Tag of the meter that a target's loader runs; the same at all routers.
 pub fn meter_tag(target: &str) -> MeterTag {
     xxh3_64(target.as_bytes()) as MeterTag
 }
 
-/// What a router tells a meter: that it is alive, whom it can reach, and what it wants.
+/// Report of a router to a meter: a heartbeat, the meters that it reaches, and its requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// The router's start.
+    /// Identifies this start of the router.
     pub boot: BootId,
-    /// Grows with each report of this start, to whichever meter.
+    /// Grows with each report of this start, over all meters.
     pub sequence: u32,
-    /// The meter that is meant.
+    /// The meter that the report is sent to.
     pub meter: MeterTag,
-    /// What this meter last told the router; 0 if nothing.
+    /// Enrolment that this meter last assigned; 0 before its first answer.
     pub enrolment: EnrolmentId,
-    /// Meters that the router can reach, in order: each limit's meter is the first among them in the
-    /// limit's own order.
+    /// Meters that the router can reach, sorted. Each limit has its own order of meters, and is served by the first
+    /// one of that order that is listed here.
     pub reachable: Vec<MeterTag>,
-    /// Routers that there are, as far as the router knows.
+    /// Number of routers that this router knows, itself included.
     pub routers: u16,
-    /// The configuration that the limits below are from.
+    /// Configuration that the limits in `requests` are from.
     pub config: ConfigNumber,
-    /// Limits that the router uses at this meter now.
+    /// Limits of which the router requests units from this meter.
     #[serde(rename = "wishes")]
     pub requests: Vec<UsageRequest>,
-    /// What the router knows of targets' limits.
+    /// Limits of targets that the router knows.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
 }
 
-/// What a router wants of one limit.
+/// A router's request for units of one limit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UsageRequest {
     /// The limit.
     pub tag: LimitTag,
     /// Units a second, over all routers.
     pub rate: f32,
-    /// Most units at once, over all routers.
+    /// Largest burst in units, over all routers.
     pub capacity: f32,
-    /// Units by which a grant may exceed what is left.
+    /// Units by which a grant may exceed the units left.
     pub overdraft: f32,
-    /// Whether no call used any of it at this router within the last window, as far as that is known.
+    /// Whether no call of this router used the limit within the last window; false if that is unknown.
     pub is_quiet: bool,
-    /// Units wanted since the enrolment, those granted included.
+    /// Units requested since the enrolment, including those granted.
     pub wanted: u64,
-    /// Units of these that calls wait for; the rest is held for calls to come.
+    /// Units of these that waiting calls need; the rest refills the router's slice.
     pub needed: u32,
     /// Cost of the call that waits longest for a grant; 0 if none waits.
     pub first: u32,
 }
 
-/// What a meter answers.
+/// A meter's answer to a report.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UsageGrant {
     /// The meter that answers.
     pub meter: MeterTag,
-    /// The report that is answered.
+    /// Sequence number of the report that is answered.
     pub sequence: u32,
-    /// The number that the router has here.
+    /// The router's enrolment at this meter.
     pub enrolment: EnrolmentId,
-    /// For each request of the report.
+    /// One grant for each request of the report, unless the meter has too many limits.
     pub grants: Vec<LimitGrant>,
-    /// Limits of targets that the router knows otherwise.
+    /// Limits of targets that the report lacked or stated differently.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
 }
 
-/// What a router may use of one limit.
+/// Units of one limit that a router may use.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitGrant {
     /// The limit.
@@ -91,9 +91,9 @@
     pub granted: u64,
     /// Units left for all routers; below 0 while the limit is overdrawn.
     pub left: f32,
-    /// Units a second that the meter grants in all.
+    /// Units a second that the meter grants to all its routers together.
     pub rate: f32,
-    /// Whether the meter has kept this limit for a while: while routers are still going over to it, what it
-    /// has left says little.
+    /// Whether the meter has served this limit long enough for all its routers to have switched to it; before that,
+    /// `left` is unreliable.
     pub is_settled: bool,
 }
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -1,20 +1,20 @@
-//! A meter: keeps some limits for all routers, beside an engine.
+//! A meter: central rate limiter of some limits for all routers, run by a loader.
 //!
-//! Calls under a limit come in at many routers, and at other ones from second to second, so that even shares would
-//! refuse calls at one router while they lie idle at the others. Routers take what they need of one common bucket, in
-//! slices, so that a call seldom waits for the trip.
+//! Calls under a limit arrive at many routers, and at different ones from second to second: with even shares, one
+//! router would refuse calls while the shares of others are unused. Instead, routers take slices of one shared
+//! bucket as they need them, so that few calls wait for a round trip.
 //!
-//! A meter keeps nothing that must last. Where it is gone, each limit has a next meter in an order that all
-//! routers know alike. Two meters that both serve a limit, because some routers reach the one and some the
-//! other, grant no more than the limit together: each grants the share of the routers that use it, and a router
-//! says of itself which one it uses. A router that goes over to another meter takes its share of the bucket's
-//! size along, but none of what the bucket holds: that may have been used.
+//! A meter persists nothing. If it fails, each limit moves to the next meter in an order that all routers compute
+//! alike. Two meters may serve one limit, because some routers reach the first and some the second; together they
+//! grant no more than the limit, as each grants only the share of the routers that use it, and each router reports
+//! which one it uses. A router that switches to another meter moves its share of the bucket's capacity there, but
+//! none of the bucket's level, as that may have been used.
 
 use super::{
     LimitTag,
     bucket::TokenBucket,
     messages::{EnrolmentId, LimitGrant, MeterTag, UsageGrant, UsageReport, UsageRequest},
-    meters::{first_meter, report_ttl},
+    meters::{assigned_meter, report_ttl},
 };
 use crate::{
     direct::{config::ConfigNumber, target_limit::LimitTable},
@@ -22,26 +22,26 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Routers that a meter remembers.
-const ROUTER_LIMIT: usize = 2_048;
-/// Limits that a meter remembers.
-const LIMIT_COUNT: usize = 8_192;
-/// Time after which a router that is not heard of is forgotten, with what it was granted.
+/// Most routers that a meter tracks.
+const MAX_ROUTERS: usize = 2_048;
+/// Most limits that a meter tracks.
+const MAX_LIMITS: usize = 8_192;
+/// Time after its last report at which a router is dropped, together with the counts of its grants.
 const ROUTER_TTL: Duration = Duration::from_secs(10);
-/// Time after which a limit that nobody uses is forgotten: by then its bucket is full.
+/// Time after its last use at which a limit is dropped: by then its bucket is full.
 const LIMIT_TTL: Duration = Duration::from_mins(1);
-/// Time in which the routers that use a limit have come over to a meter that is new to it.
+/// Time within which the routers that use a limit switch to a meter that is new to it.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Part of what is left that a router may hold for calls to come.
-const SLICE_PART: f64 = 0.1;
-/// Pause between counts of the routers that use each set of meters.
-const COUNT_PAUSE: Duration = Duration::from_millis(50);
+/// Part of the units left that one grant may add to a router's slice, beyond what waiting calls need.
+const MAX_SLICE_PART: f64 = 0.1;
+/// Interval of counting the routers that reach each set of meters.
+const COUNT_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
-struct MeterRouter {
+struct EnrolledRouter {
     enrolment: EnrolmentId,
     sequence: u32,
-    heard: Timestamp,
+    last_report: Timestamp,
     routers: u16,
     reachable: Vec<MeterTag>,
     granted: HashMap<LimitTag, u64>,
@@ -49,7 +49,7 @@
 
 #[derive(Debug)]
 struct MeteredLimit {
-    /// Hash by which routers know this meter.
+    /// Tag of this meter.
     meter: MeterTag,
     config: ConfigNumber,
     rate: f64,
@@ -59,21 +59,21 @@
     used: Timestamp,
 }
 
-/// The limits at one meter.
+/// Limits and enrolled routers of one meter.
 #[derive(Debug)]
 pub struct UsageMeter {
     boot: BootId,
     enrolments: u32,
-    routers: HashMap<BootId, MeterRouter>,
+    routers: HashMap<BootId, EnrolledRouter>,
     limits: HashMap<LimitTag, MeteredLimit>,
-    /// Routers alive, by the meters that they can reach.
+    /// Number of live routers for each set of meters that routers can reach.
     groups: Vec<(Vec<MeterTag>, usize)>,
     counted: Timestamp,
     router_count: usize,
 }
 
 impl UsageMeter {
-    /// Starts knowing nobody; `boot` tells this start from others.
+    /// Starts without routers or limits; `boot` identifies this start of the meter.
     pub fn new(boot: BootId) -> Self {
         Self {
             boot,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes a report; `None` where an older or doubled one needs no answer.
+    /// Applies a report and answers it; `None` for an outdated or duplicate report, or if there are too many routers.
     pub fn take(
         &mut self,
         report: &UsageReport,
@@ -98,7 +98,7 @@
         }
         self.count_routers(now);
         let enrolment = self.routers.get(&report.boot)?.enrolment;
-        // Wants of another enrolment were counted from another beginning.
+        // The units requested under another enrolment were counted from another start.
         let is_enrolled = report.enrolment == enrolment;
         let requests = report.requests.iter();
         let grants = requests.filter_map(|request| {
@@ -120,20 +120,20 @@
                 return false;
             }
             router.sequence = report.sequence;
-            router.heard = now;
+            router.last_report = now;
             router.routers = report.routers;
             router.reachable.clone_from(&report.reachable);
             return true;
         }
-        self.forget_routers(now);
-        if self.routers.len() >= ROUTER_LIMIT {
+        self.drop_expired(now);
+        if self.routers.len() >= MAX_ROUTERS {
             return false;
         }
         self.enrolments += 1;
-        let router = MeterRouter {
+        let router = EnrolledRouter {
             enrolment: self.boot ^ u64::from(self.enrolments).rotate_left(32),
             sequence: report.sequence,
-            heard: now,
+            last_report: now,
             routers: report.routers,
             reachable: report.reachable.clone(),
             granted: HashMap::new(),
@@ -142,19 +142,19 @@
         true
     }
 
-    fn forget_routers(&mut self, now: Timestamp) {
-        self.routers.retain(|_, router| now.saturating_sub(router.heard) < ROUTER_TTL);
+    fn drop_expired(&mut self, now: Timestamp) {
+        self.routers.retain(|_, router| now.saturating_sub(router.last_report) < ROUTER_TTL);
         self.limits.retain(|_, limit| now.saturating_sub(limit.used) < LIMIT_TTL);
     }
 
-    /// Refills all buckets, and counts the routers that are alive, by the meters that they can reach: a few
-    /// groups, as most routers reach the same ones.
+    /// Refills all buckets, and counts the live routers by the set of meters that they reach. There are few such groups,
+    /// as most routers reach the same meters.
     ///
-    /// Whoever was not heard for a while used its share elsewhere. A meter that stood still, or was cut off,
-    /// must not grant for that time once more when its routers are back.
+    /// A router that sent no report for `ttl` has used its share elsewhere. So a meter that was frozen or partitioned
+    /// must not refill for that time when its routers are back.
     fn count_routers(&mut self, now: Timestamp) {
         let passed = now.saturating_sub(self.counted);
-        if passed < COUNT_PAUSE {
+        if passed < COUNT_INTERVAL {
             return;
         }
         let ttl = report_ttl(self.router_count);
@@ -163,14 +163,14 @@
         }
         self.refill(now);
         self.counted = now;
-        let alive =
-            || self.routers.values().filter(|router| now.saturating_sub(router.heard) < ttl);
+        let live =
+            || self.routers.values().filter(|router| now.saturating_sub(router.last_report) < ttl);
         let mut groups: HashMap<&[MeterTag], usize> = HashMap::new();
-        for router in alive() {
+        for router in live() {
             *groups.entry(&router.reachable).or_default() += 1;
         }
-        let told = alive().map(|router| usize::from(router.routers)).max();
-        self.router_count = told.unwrap_or(1).max(groups.values().sum());
+        let reported = live().map(|router| usize::from(router.routers)).max();
+        self.router_count = reported.unwrap_or(1).max(groups.values().sum());
         self.groups = groups.into_iter().map(|(tags, count)| (tags.to_vec(), count)).collect();
     }
 
@@ -191,12 +191,12 @@
         now: Timestamp,
     ) -> Option<LimitGrant> {
         let share = share(&self.groups, self.router_count, report.meter, request.tag);
-        if !self.limits.contains_key(&request.tag) && self.limits.len() >= LIMIT_COUNT {
+        if !self.limits.contains_key(&request.tag) && self.limits.len() >= MAX_LIMITS {
             return None;
         }
         let router = self.routers.get_mut(&report.boot)?;
         let limit = self.limits.entry(request.tag).or_insert_with(|| {
-            // Where calls used the limit lately, another meter granted that, or an earlier start of this one.
+            // If the limit was used lately, another meter or an earlier start of this one has granted those units.
             let level = if request.is_quiet { f64::from(request.capacity) * share } else { 0.0 };
             MeteredLimit {
                 meter: report.meter,
@@ -218,14 +218,14 @@
         let rate = limit.rate * share;
         let left = limit.bucket.refill(rate, limit.capacity * share, now);
         let granted = router.granted.entry(request.tag).or_default();
-        let open = request.wanted.saturating_sub(*granted);
-        let most = left + f64::from(request.overdraft);
-        if is_enrolled && left > 0.0 && f64::from(request.first) <= most {
-            // What routers hold for calls to come serves small calls only, as a large one fits into no slice.
-            // So the less there is, the less of it is given out for that.
-            let needed = (open as f64).min(f64::from(request.needed));
-            let slice = (open as f64 - needed).min(SLICE_PART * (left - needed).max(0.0));
-            let units = needed.min(most).floor() + slice.floor();
+        let outstanding = request.wanted.saturating_sub(*granted);
+        let max_grant = left + f64::from(request.overdraft);
+        if is_enrolled && left > 0.0 && f64::from(request.first) <= max_grant {
+            // Slices serve small calls only, as a large call fits into none. So slices shrink with the units left.
+            let needed = (outstanding as f64).min(f64::from(request.needed));
+            let slice =
+                (outstanding as f64 - needed).min(MAX_SLICE_PART * (left - needed).max(0.0));
+            let units = needed.min(max_grant).floor() + slice.floor();
             *granted += units as u64;
             limit.bucket.take(units);
         }
@@ -240,9 +240,9 @@
     }
 }
 
-/// Part of all routers that use a meter for a limit.
+/// Share of all routers that use a meter for a limit.
 fn share(groups: &[(Vec<MeterTag>, usize)], routers: usize, meter: MeterTag, tag: LimitTag) -> f64 {
-    let using = groups.iter().filter(|(meters, _)| first_meter(tag, meters) == Some(meter));
+    let using = groups.iter().filter(|(meters, _)| assigned_meter(tag, meters) == Some(meter));
     let using: usize = using.map(|(_, count)| count).sum();
     using as f64 / routers.max(1) as f64
 }
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -1,4 +1,4 @@
-//! Which meters a router can reach, and which of them keeps a limit.
+//! Which meters a router can reach, and which of them serves a limit.
 
 use super::{
     LimitTag,
@@ -8,56 +8,56 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Shortest pause between reports to a meter from which nothing is wanted.
+/// Shortest pause between reports without requests to one meter.
 const REPORT_PAUSE: Duration = Duration::from_millis(250);
-/// Reports a second that a meter hears of all routers together, beyond those that want something: with
-/// hundreds of routers each one reports less often, so that a meter's part of its host stays the same.
+/// Reports without requests that a meter receives a second from all routers together. With hundreds of routers each
+/// one reports less often, so that a meter's load on its host stays constant.
 const REPORT_RATE: f64 = 200.0;
-/// Reports without an answer after which a meter is taken to be out of reach.
-const LOST_REPORTS: f64 = 2.5;
-/// Pause before a report without an answer is sent again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(80);
-/// Time without an answer after which a meter is taken to be out of reach. Calls wait meanwhile; a host whose
-/// processor share is used up stands still for up to 100 ms.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
-/// Time for which a meter must answer before it is used again, so that it has heard of all routers that
-/// use it before it grants anything.
-const RETURN_TIME: Duration = Duration::from_secs(1);
-/// Time for a first answer once meters are known.
-const FIRST_ANSWER_TIME: Duration = Duration::from_millis(400);
-
-/// Pause between reports to a meter from which nothing is wanted, with so many routers.
+/// Report intervals without an answer after which a meter counts as unreachable.
+const MISSED_REPORTS: f64 = 2.5;
+/// Pause before an unanswered report is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(80);
+/// Time without an answer after which a meter counts as unreachable. Calls wait meanwhile; a host that has used up its
+/// CPU quota is throttled for up to 100 ms.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for which a meter must answer before it is used again, so that it has reports of all its routers before it
+/// grants units.
+const STEADY_TIME: Duration = Duration::from_secs(1);
+/// Time allowed for a first answer once meters are known.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Pause between reports without requests to one meter, in a fleet of `routers`.
 pub fn report_pause(routers: usize) -> Duration {
     REPORT_PAUSE.max(Duration::from_secs_f64(routers as f64 / REPORT_RATE))
 }
 
-/// Time for which a router that has reported is taken to use its meter.
+/// Time after its last report for which a router counts as a user of its meter.
 pub fn report_ttl(routers: usize) -> Duration {
-    report_pause(routers).mul_f64(LOST_REPORTS)
+    report_pause(routers).mul_f64(MISSED_REPORTS)
 }
 
-/// The meter that keeps a limit among those that can be reached.
-pub fn first_meter(tag: LimitTag, reachable: &[MeterTag]) -> Option<MeterTag> {
-    let weight = |meter: &MeterTag| (xxh3_64_with_seed(&meter.to_le_bytes(), tag), *meter);
-    reachable.iter().copied().max_by_key(weight)
+/// The meter that serves a limit among the reachable ones, by rendezvous hashing.
+pub fn assigned_meter(tag: LimitTag, reachable: &[MeterTag]) -> Option<MeterTag> {
+    let rank = |meter: &MeterTag| (xxh3_64_with_seed(&meter.to_le_bytes(), tag), *meter);
+    reachable.iter().copied().max_by_key(rank)
 }
 
-/// One meter as a router sees it.
+/// A router's link to one meter.
 #[derive(Debug)]
 pub struct MeterLink {
-    /// The target beside which it stands.
+    /// The target whose loader runs the meter.
     pub target: InstanceId,
-    /// Its hash.
+    /// The meter's tag.
     pub tag: MeterTag,
-    /// The number that it gave this router; 0 before it did.
+    /// Enrolment that it assigned to this router; 0 before its first answer.
     pub enrolment: EnrolmentId,
-    /// When it was last told something.
-    pub reported: Option<Timestamp>,
-    /// Since when it owes an answer.
-    asked: Option<Timestamp>,
-    answered: Option<Timestamp>,
-    /// Since when it answers without a gap.
-    steady: Option<Timestamp>,
+    /// When the last report was sent to it.
+    pub last_report: Option<Timestamp>,
+    /// When the first report without an answer was sent to it.
+    unanswered_since: Option<Timestamp>,
+    last_answer: Option<Timestamp>,
+    /// Since when it has answered without a gap.
+    steady_since: Option<Timestamp>,
     is_reachable: bool,
 }
 
@@ -67,52 +67,54 @@
             tag: meter_tag(&target),
             target,
             enrolment: 0,
-            reported: None,
-            asked: None,
-            answered: None,
-            steady: None,
+            last_report: None,
+            unanswered_since: None,
+            last_answer: None,
+            steady_since: None,
             is_reachable: false,
         }
     }
 
-    /// A report went out.
+    /// Notes that a report was sent.
     pub fn note_report(&mut self, now: Timestamp) {
-        self.reported = Some(now);
-        self.asked.get_or_insert(now);
+        self.last_report = Some(now);
+        self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether it is to be told something although nothing is wanted of it.
+    /// Whether a report is due although there is no request.
     pub fn is_due(&self, pause: Duration, now: Timestamp) -> bool {
-        // Datagrams are lost at times; only a meter that is silent to several is given up.
-        let pause = if self.asked.is_some() && self.is_reachable { REPEAT_PAUSE } else { pause };
-        self.reported.is_none_or(|at| now.saturating_sub(at) >= pause)
+        // A datagram may be lost: a reachable meter gets several reports before it counts as unreachable.
+        let pause =
+            if self.unanswered_since.is_some() && self.is_reachable { RETRY_PAUSE } else { pause };
+        self.last_report.is_none_or(|at| now.saturating_sub(at) >= pause)
     }
 
-    /// It answered.
+    /// Notes that the meter answered.
     pub fn note_answer(&mut self, now: Timestamp) {
-        self.asked = None;
-        self.answered = Some(now);
-        self.steady.get_or_insert(now);
+        self.unanswered_since = None;
+        self.last_answer = Some(now);
+        self.steady_since.get_or_insert(now);
     }
 
     fn is_answering(&self, routers: usize, now: Timestamp) -> bool {
-        let is_overdue = self.asked.is_some_and(|at| now.saturating_sub(at) >= ANSWER_LIMIT);
+        let is_overdue =
+            self.unanswered_since.is_some_and(|at| now.saturating_sub(at) >= ANSWER_TIMEOUT);
         let ttl = report_ttl(routers);
-        !is_overdue && self.answered.is_some_and(|at| now.saturating_sub(at) < ttl)
+        !is_overdue && self.last_answer.is_some_and(|at| now.saturating_sub(at) < ttl)
     }
 }
 
-/// The meters of the fleet as one router sees them.
+/// All meters of the fleet, with their reachability from one router.
 #[derive(Debug, Default)]
 pub struct MeterTable {
     links: Vec<MeterLink>,
     reachable: Vec<MeterTag>,
-    /// When meters became known where there was none.
+    /// When the first meter became known; `None` while there is none.
     known_since: Option<Timestamp>,
 }
 
 impl MeterTable {
-    /// Takes the targets beside which meters stand.
+    /// Sets the targets whose loaders run meters.
     pub fn set_targets(&mut self, targets: Vec<InstanceId>, now: Timestamp) {
         self.known_since = if targets.is_empty() { None } else { self.known_since.or(Some(now)) };
         self.links.retain(|link| targets.contains(&link.target));
@@ -124,18 +126,19 @@
         self.links.sort_unstable_by_key(|link| link.tag);
     }
 
-    /// Determines again which meters can be reached; returns whether that has changed.
+    /// Recomputes which meters are reachable; returns whether that has changed.
     pub fn refresh(&mut self, routers: usize, now: Timestamp) -> bool {
         let has_none =
             !self.links.iter().any(|link| link.is_reachable && link.is_answering(routers, now));
         for link in &mut self.links {
             if !link.is_answering(routers, now) {
                 link.is_reachable = false;
-                link.steady = None;
+                link.steady_since = None;
                 continue;
             }
-            let is_steady = link.steady.is_some_and(|at| now.saturating_sub(at) >= RETURN_TIME);
-            // Where there is no other, one that has just answered is better than none.
+            let is_steady =
+                link.steady_since.is_some_and(|at| now.saturating_sub(at) >= STEADY_TIME);
+            // If no meter is reachable, one that has just answered is used at once.
             link.is_reachable |= is_steady || has_none;
         }
         let reachable: Vec<MeterTag> =
@@ -145,28 +148,28 @@
         is_changed
     }
 
-    /// Whether no meter can be reached yet, and the first answer may still come.
+    /// Whether no meter is reachable yet, but a first answer may still arrive.
     pub fn is_awaited(&self, now: Timestamp) -> bool {
-        let is_new = |since| now.saturating_sub(since) < FIRST_ANSWER_TIME;
+        let is_new = |since| now.saturating_sub(since) < FIRST_ANSWER_TIMEOUT;
         self.reachable.is_empty() && self.known_since.is_some_and(is_new)
     }
 
-    /// Meters that can be reached, in order.
+    /// Tags of the reachable meters, sorted.
     pub fn reachable(&self) -> &[MeterTag] {
         &self.reachable
     }
 
-    /// All meters.
+    /// Links to all meters, sorted by tag.
     pub fn links(&self) -> &[MeterLink] {
         &self.links
     }
 
-    /// One meter, to change it.
+    /// The link to a meter, for changes.
     pub fn link_mut(&mut self, tag: MeterTag) -> Option<&mut MeterLink> {
         self.links.iter_mut().find(|link| link.tag == tag)
     }
 
-    /// One meter.
+    /// The link to a meter.
     pub fn link(&self, tag: MeterTag) -> Option<&MeterLink> {
         self.links.iter().find(|link| link.tag == tag)
     }
