--- a/crates/core/src/direct/backlog.rs
+++ b/crates/core/src/direct/backlog.rs
@@ -1,17 +1,17 @@
-//! Prompt tokens that an engine has not prefilled yet, as far as the routers' calls tell.
+//! Estimate of the prompt tokens that an engine has not prefilled yet, from the calls that routers report.
 //!
-//! Pattern: one call in thirty has a prompt of ten thousand tokens or more, which an engine reads for half a
-//! second while all calls that come after it wait for their first byte. An engine reports calls, not tokens,
-//! and a router knows its own calls only: in a large fleet it saw one in sixty of the prompts before its own.
+//! One call in thirty has a prompt of 10,000 tokens or more, which takes an engine half a second to prefill while all
+//! later calls wait for their first byte. Engines report calls, not tokens, and a router knows only its own calls: in a
+//! large fleet, one in sixty of the prompts that are queued before its own.
 
 use crate::ids::Timestamp;
 use std::time::Duration;
 
-/// Prompt tokens that an engine prefills in a millisecond: the figure of the first engines in use. Where
-/// engines are slower, less is believed to wait than does, as if other routers' prompts were not known.
+/// Prompt tokens that an engine prefills in a millisecond; the value of the first engines in use. For slower engines the
+/// backlog is underestimated, as if other routers' prompts were unknown.
 pub(super) const TOKENS_PER_MS: f64 = 38.0;
 
-/// Tokens that wait for prefill, less those that were processed since.
+/// Pending prefill tokens at one engine, reduced over time by `TOKENS_PER_MS`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrefillBacklog {
     tokens: f64,
@@ -19,19 +19,19 @@
 }
 
 impl PrefillBacklog {
-    /// Prompts of so many tokens came.
+    /// Adds the tokens of new prompts.
     pub fn add(&mut self, tokens: u32, now: Timestamp) {
         self.tokens = f64::from(self.read(now)) + f64::from(tokens);
         self.at = now;
     }
 
-    /// Tokens that still wait.
+    /// Tokens still pending at `now`.
     pub fn read(&self, now: Timestamp) -> u32 {
         prefill_left_after(self.tokens, now.saturating_sub(self.at)) as u32
     }
 }
 
-/// What is left of a backlog after some time.
+/// Tokens left of a backlog after some time.
 pub(super) fn prefill_left_after(tokens: f64, time: Duration) -> f64 {
     (tokens - time.as_secs_f64() * 1_000.0 * TOKENS_PER_MS).max(0.0)
 }
--- a/crates/core/src/direct/customers.rs
+++ b/crates/core/src/direct/customers.rs
@@ -1,7 +1,7 @@
-//! Customers: who calls, known by keys, and how much of the fleet each may use.
+//! Customers: identified by API keys, each with an optional rate limit.
 //!
 //! A key is a secret. It is replaced by its digest where it enters the process, so that no log line, error,
-//! snapshot or message between routers can hold it.
+//! snapshot or message between routers can contain it.
 
 pub mod keys;
 
@@ -12,34 +12,34 @@
 use std::{collections::HashMap, fmt, sync::Arc};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One customer, as configured.
+/// Configuration of one customer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CustomerRule {
-    /// Its name, which targets are told.
+    /// Unique name, which is sent to targets.
     pub name: CustomerName,
-    /// Digests of the keys by which its calls are known.
+    /// Digests of the keys that identify its calls.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its calls, in place of their routes'; 0 is the highest.
+    /// Priority of its calls, in place of their routes' priority; 0 is the highest.
     pub priority: Option<u8>,
-    /// What it may use; nothing where it has no limit.
+    /// Rate limit over all routers; `None` if it has no limit.
     pub limit: Option<UsageLimit>,
 }
 
 impl CustomerRule {
-    /// Hash of its name.
+    /// Tag of its limit: the hash of its name.
     pub fn tag(&self) -> LimitTag {
         xxh3_64(self.name.as_bytes())
     }
 }
 
-/// Why customers cannot be told apart, or not be counted.
+/// Why a list of customers is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CustomerFault {
     /// Two customers hold the same key.
     SharedKey(CustomerName, CustomerName),
     /// Two customers have the same name.
     SameName(CustomerName),
-    /// Two names have the same hash, so that their use would be counted together.
+    /// Two names have the same hash, so that their usage would be counted together.
     SameTag(CustomerName, CustomerName),
 }
 
@@ -59,12 +59,12 @@
 
 impl std::error::Error for CustomerFault {}
 
-/// Whose call it is.
+/// Identity of a call's caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerIdentity {
-    /// A customer's.
+    /// A customer.
     Customer(Arc<CustomerRule>),
-    /// Nobody's: there are no customers, or the route is open to all.
+    /// No customer: none are configured, or the route is open to all.
     Anyone,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// All customers, found by the digests of their keys.
+/// All customers, indexed by the digests of their keys.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CustomerTable {
     rules: Vec<Arc<CustomerRule>>,
@@ -116,19 +116,19 @@
         &self.rules
     }
 
-    /// The limits of those that have one.
+    /// Limits of the customers that have one, by tag.
     pub fn limits(&self) -> HashMap<LimitTag, UsageLimit> {
         self.rules.iter().filter_map(|rule| Some((rule.tag(), rule.limit?))).collect()
     }
 
-    /// Whether callers are told apart at all.
+    /// Whether no customer is configured, so that keys are not checked.
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
     }
 
-    /// Whose call it is; `None` if it must be turned away.
+    /// Identifies the caller; `None` if the call must be rejected.
     ///
-    /// On an open route the key decides nothing, but a call that bears one is its holder's all the same.
+    /// An open route admits any call, but a call with a valid key is still attributed to its customer.
     pub fn identify(&self, key: &PresentedKey, is_open: bool) -> Option<CallerIdentity> {
         let holder = match key {
             PresentedKey::Digest(digest) => self.by_key.get(digest),
--- a/crates/core/src/direct/customers/keys.rs
+++ b/crates/core/src/direct/customers/keys.rs
@@ -1,4 +1,4 @@
-//! Keys by which customers' calls are known, kept as digests only.
+//! API keys that identify customers' calls, stored as digests only.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -8,13 +8,12 @@
 /// Longest key in bytes.
 pub const KEY_LIMIT: usize = 256;
 
-/// Digest of a key. It stands for the key in all that a process keeps, writes and tells; the key itself
-/// cannot be had back from it.
+/// SHA-256 digest of a key. It replaces the key in everything that a process stores, logs and sends.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digests a key; the error says what is wrong with it.
+    /// Digests a key; fails if the key is empty or too long.
     pub fn new(key: &[u8]) -> Result<Self, KeyFault> {
         match key.len() {
             0 => Err(KeyFault::Empty),
@@ -23,9 +22,8 @@
         }
     }
 
-    /// A short mark by which lines of one process about the same key can be told to be about the same key.
-    /// `secret` is a number that the process drew, so that a mark says nothing about a key that somebody
-    /// guesses.
+    /// Short mark that correlates log lines of one process about the same key. `secret` is a random number of the
+    /// process, so that a mark does not confirm a guessed key.
     pub fn mark(&self, secret: u64) -> String {
         format!("{:08x}", xxh3_64_with_seed(&self.0, secret) as u32)
     }
@@ -37,14 +35,14 @@
     }
 }
 
-/// Why a key can be nobody's.
+/// Why a presented key is unusable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyFault {
-    /// It has no byte.
+    /// It is empty.
     Empty,
     /// It is longer than [`KEY_LIMIT`].
     TooLong,
-    /// A call bears several keys: whose it is would depend on who reads them.
+    /// The call has several keys: different readers could attribute it to different customers.
     Several,
 }
 
@@ -53,27 +51,27 @@
         match self {
             Self::Empty => formatter.write_str("the key is empty"),
             Self::TooLong => write!(formatter, "the key is longer than {KEY_LIMIT} bytes"),
-            Self::Several => formatter.write_str("the call bears several keys"),
+            Self::Several => formatter.write_str("the call has several keys"),
         }
     }
 }
 
 impl std::error::Error for KeyFault {}
 
-/// What a call bears to say whose it is.
+/// The key that a call presents.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PresentedKey {
-    /// Nothing.
+    /// The call has no key.
     #[default]
     Missing,
-    /// Something that can be nobody's key.
+    /// The call has something that cannot be a customer's key.
     Unusable(KeyFault),
-    /// A key.
+    /// Digest of the call's key.
     Digest(KeyDigest),
 }
 
 impl PresentedKey {
-    /// Reads the values of the header that bears keys.
+    /// Reads the values of the header that carries the key.
     pub fn new<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         let Some(key) = values.next() else { return Self::Missing };
         if values.next().is_some() {
--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -1,31 +1,31 @@
-//! How well a target did lately, from what its calls met. Health checks cost a slot at the target
-//! and stay good while a target fails part of its calls, so the calls themselves are the evidence.
+//! Passive health checks: a target's recent failures, from the outcomes of its calls. Active health checks would cost a
+//! slot at the target, and pass while it fails part of its calls.
 
 use crate::ids::Timestamp;
 use std::time::Duration;
 
-/// Time in which the memory of an outcome fades to half: long enough to span some calls of a target
-/// at tens of calls a second, short enough that a mended target is back within seconds.
+/// Half-life of an outcome's weight: long enough to span several calls of a target at tens of calls a second, short
+/// enough that a repaired target is back within seconds.
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
-/// Weight of the assumption that a target without evidence is well, in calls.
+/// Answered calls that every target is credited with, so that a single failure weighs little.
 const PRIOR_CALLS: f64 = 4.0;
-/// First time for which a target that could not be connected to is left alone.
+/// First backoff after a failed connection.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest such time; the lagging list tells of targets that are gone in about four seconds.
+/// Longest backoff. The list, which lags, removes targets that are gone after about four seconds.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What a call met at a target.
+/// Outcome of a call at a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
-    /// An answer.
+    /// A complete answer.
     Answered,
     /// A failure, a refusal, or an answer that broke off.
     Failed,
-    /// No connection, or silence on one.
+    /// No connection, or a connection without an answer.
     Silent,
 }
 
-/// Decayed counts of outcomes, and a backoff after silence.
+/// Decayed counts of outcomes, and an exponential backoff after [`CallOutcome::Silent`].
 #[derive(Clone, Debug, Default)]
 pub struct TargetHealth {
     calls: f64,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Share of calls that failed lately, from 0 to 1.
+    /// Decayed share of calls that failed, from 0 to 1.
     pub fn failure_share(&self, now: Timestamp) -> f64 {
         let (calls, failures) = self.decayed(now);
         failures / (calls + PRIOR_CALLS)
     }
 
-    /// Whether the target is left alone at `now`.
+    /// Whether the target is to get no calls at `now`.
     pub fn is_backing_off(&self, now: Timestamp) -> bool {
         now < self.backoff_until
     }
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -1,4 +1,4 @@
-//! One target as one router sees it.
+//! The state of one target at one router.
 
 use super::{
     advertised_state::AdvertisedState,
@@ -13,31 +13,31 @@
 use crate::ids::{AdapterVersion, Timestamp};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// Age after which a loader's report no longer says what its engine holds: within this, an engine whose
-/// adapters are all wanted elsewhere has replaced most of those that nobody uses.
+/// Age after which a loader's report no longer describes its engine: within this time, an engine under demand for
+/// other adapters may replace most of its unused ones.
 pub const REPORT_TTL: Duration = Duration::from_millis(2_500);
-/// Age up to which a report is believed in what an engine holds without asking again. An adapter that was
-/// evicted meanwhile costs the call a refusal, and the fleet one of its repeats.
+/// Age up to which a report's holdings are used without a new report. If the adapter was evicted meanwhile, the call is
+/// refused there, and the fleet spends one of its retries.
 const SUFFICIENT_TTL: Duration = Duration::from_millis(300);
-/// Time without an answer after which a loader counts as silent. It answers within a millisecond, but a
-/// host may be held up for the rest of a tenth of a second when it has used up its share of a core.
-const SILENCE: Duration = Duration::from_millis(150);
-/// Time after which a silent loader is asked again.
-const SILENCE_TTL: Duration = Duration::from_secs(2);
+/// Time without an answer after which a loader counts as silent. It answers within a millisecond, but a host that has
+/// used up its CPU quota may be throttled for the rest of a 100 ms period.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time after which another report is requested of a silent loader.
+const REPORT_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time for which a limit that was used up keeps adapters away from its target.
+/// Time after the end of its saturation for which adapters are kept away from a target.
 const SATURATION_TTL: Duration = Duration::from_secs(10);
 
-/// What a loader last reported of its engine.
+/// The last report of a target's loader.
 #[derive(Clone, Debug)]
 pub struct LoaderView {
     /// The report.
     pub report: LoaderReport,
-    /// When it came.
+    /// When it arrived.
     pub received: Timestamp,
 }
 
-/// A router's own calls that use an adapter of a target.
+/// This router's calls that use one adapter at a target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct UseCounts {
     pub(super) running: u16,
@@ -45,14 +45,14 @@
     pub(super) started_tokens: u32,
 }
 
-/// A router's request that a target hold an adapter.
+/// This router's request that a target load one adapter.
 #[derive(Clone, Debug)]
 pub(super) struct LoadRequestState {
     pub(super) version: AdapterVersion,
-    /// When the adapter must be there for each call that waits to meet its objective.
+    /// For each waiting call, the time by which the adapter must be loaded for the call to meet its objective.
     pub(super) waiters: Vec<Timestamp>,
     pub(super) priority: u8,
-    pub(super) made: Timestamp,
+    pub(super) requested: Timestamp,
 }
 
 impl LoadRequestState {
@@ -66,34 +66,34 @@
     }
 }
 
-/// One target.
+/// A target's entry, its advertised and reported state, and this router's calls there.
 #[derive(Debug)]
 pub struct TargetState {
-    /// What the list says.
+    /// Its entry in the list of targets.
     pub entry: Arc<TargetEntry>,
-    /// Calls of this router that it has and has not ended.
+    /// Calls of this router that are in flight there.
     pub in_flight: u32,
-    /// Prompt tokens of those of them that have no first event yet.
+    /// Prompt tokens of those calls that have no first byte yet.
     pub prefill_tokens: u32,
-    /// Calls whose first byte is overdue.
+    /// Calls of this router whose first byte is overdue.
     pub overdue: u32,
-    /// How it did lately.
+    /// Recent failures, and backoff after failed connections.
     pub health: TargetHealth,
-    /// How long its answers take.
+    /// Smoothed time to its answers.
     pub latency: LatencyGauge,
-    /// The requests that it takes from all routers together.
+    /// Rate limit that it advertises, over all routers.
     pub limit: KnownLimit,
-    /// What it has advertised of itself.
+    /// Draining and backoff that it advertises.
     pub advertised: AdvertisedState,
-    /// Until when its limit is taken to be used up.
+    /// Until when its limit counts as used up.
     pub(super) saturated_until: Timestamp,
-    /// What its loader reported.
+    /// Last report of its loader; `None` before the first one.
     pub loader: Option<LoaderView>,
-    /// When the pending report of its loader was first requested.
+    /// When the pending report of its loader was requested.
     pub(super) report_requested: Option<Timestamp>,
-    /// The report request whose silence was noted.
+    /// Time of the report request whose lack of an answer was noted.
     pub(super) noted_silence: Option<Timestamp>,
-    /// Whether another incarnation was met at its address, so that this one has ended.
+    /// Whether another incarnation answered at its address, so that this one has ended.
     pub(super) is_displaced: bool,
     /// Whether the list shows a later incarnation at its address.
     pub(super) is_superseded: bool,
@@ -129,43 +129,44 @@
         (now.saturating_sub(view.received) < REPORT_TTL).then_some(&view.report)
     }
 
-    /// Takes its loader's report.
+    /// Stores its loader's report, and ends the pending request.
     pub(super) fn take_report(&mut self, report: LoaderReport, now: Timestamp) {
         self.report_requested = None;
         self.loader = Some(LoaderView { report, received: now });
     }
 
-    /// Requests a report of its loader; returns whether no request was pending.
+    /// Notes a request for a report of its loader; returns whether it is to be sent, as none was pending.
     pub(super) fn request_report(&mut self, now: Timestamp) -> bool {
-        let is_new = self.report_requested.is_none_or(|at| now.saturating_sub(at) >= SILENCE_TTL);
+        let is_new =
+            self.report_requested.is_none_or(|at| now.saturating_sub(at) >= REPORT_RETRY_PAUSE);
         if is_new {
             self.report_requested = Some(now);
         }
         is_new
     }
 
-    /// Prompt tokens of all routers' calls that it has most likely not prefilled yet: those that its loader
-    /// reported, less what it has processed since, and at least this router's own.
+    /// Estimate of the prompt tokens of all routers' calls that it has not prefilled yet: those that its loader reported,
+    /// less those processed since, but at least this router's own.
     pub fn fleet_prefill_tokens(&self, now: Timestamp) -> f64 {
-        let told = self.loader.as_ref().map_or(0.0, |view| {
+        let reported = self.loader.as_ref().map_or(0.0, |view| {
             let age = now.saturating_sub(view.received);
             prefill_left_after(f64::from(view.report.prefill_tokens), age)
         });
-        told.max(f64::from(self.prefill_tokens))
+        reported.max(f64::from(self.prefill_tokens))
     }
 
-    /// Whether a report was requested of its loader and may still come.
+    /// Whether a report was requested of its loader and may still arrive.
     pub fn is_report_pending(&self, now: Timestamp) -> bool {
-        self.report_requested.is_some_and(|at| now.saturating_sub(at) < SILENCE)
+        self.report_requested.is_some_and(|at| now.saturating_sub(at) < REPORT_TIMEOUT)
     }
 
-    /// Whether its loader does not answer.
+    /// Whether its loader left a report request unanswered; false again once the request may be repeated.
     pub fn is_loader_silent(&self, now: Timestamp) -> bool {
         let waited = self.report_requested.map(|at| now.saturating_sub(at));
-        waited.is_some_and(|waited| (SILENCE..SILENCE_TTL).contains(&waited))
+        waited.is_some_and(|waited| (REPORT_TIMEOUT..REPORT_RETRY_PAUSE).contains(&waited))
     }
 
-    /// Whether its loader is silent, and that was not noted before.
+    /// Whether its loader is silent; true only once for each report request.
     pub(super) fn note_silence(&mut self, now: Timestamp) -> bool {
         let is_new = self.is_loader_silent(now) && self.noted_silence != self.report_requested;
         if is_new {
@@ -174,36 +175,37 @@
         is_new
     }
 
-    /// Whether a report would say no more of an adapter here than is known.
+    /// Whether a new report would add nothing about an adapter here: the last one is recent enough, or the loader is
+    /// silent.
     pub fn is_report_sufficient(&self, adapter: &AdapterId, now: Timestamp) -> bool {
         let Some(view) = &self.loader else { return self.is_loader_silent(now) };
         let age = now.saturating_sub(view.received);
-        // The loader keeps an adapter for as long as it knows of a call that uses it.
+        // The loader keeps an adapter while a router reports a call that uses it.
         let is_kept = self.uses.get(adapter).is_some_and(|counts| counts.running > 0);
         age < SUFFICIENT_TTL || (is_kept && age < REPORT_TTL) || self.is_loader_silent(now)
     }
 
-    /// Whether it is an engine that holds no base model.
+    /// Whether it holds no base model, and neither drains nor has ended.
     pub fn is_empty_engine(&self, now: Timestamp) -> bool {
         !self.is_draining() && !self.has_ended() && self.holdings(now).is_empty()
     }
 
-    /// Whether calls of this router run here or wait for adapters, or adapters are wanted ahead of calls.
+    /// Whether calls of this router run here or wait for adapters, or prefetches are requested.
     pub fn is_engaged(&self) -> bool {
         self.has_load_request() || !self.uses.is_empty()
     }
 
-    /// What the target holds: by its loader if that is heard, else by the list.
+    /// Base models and adapters at the target: by a fresh report of its loader, else by the list.
     pub fn holdings(&self, now: Timestamp) -> &[BaseHolding] {
         self.fresh_report(now).map_or(&self.entry.holdings, |report| &report.holdings)
     }
 
-    /// Whether the base model is there.
+    /// Whether the target holds the base model.
     pub fn holds_base(&self, base: &str, now: Timestamp) -> bool {
         self.holdings(now).iter().any(|holding| &*holding.base == base)
     }
 
-    /// Version of an adapter that is there.
+    /// Version of an adapter that the target holds.
     pub fn held_version(&self, adapter: &AdapterId, now: Timestamp) -> Option<AdapterVersion> {
         let holdings = self.holdings(now).iter();
         let holding = holdings.into_iter().find(|holding| holding.base == adapter.base)?;
@@ -218,61 +220,60 @@
         })
     }
 
-    /// Whether it is draining, by the list, by its loader, or by its own answers.
+    /// Whether it is draining, by the list, its loader or its own answers.
     pub fn is_draining(&self) -> bool {
         let by_loader = self.loader.as_ref().is_some_and(|view| view.report.is_draining);
         self.entry.is_draining || by_loader || self.advertised.is_draining
     }
 
-    /// Whether it has asked for no requests now.
+    /// Whether it has requested a backoff that has not ended.
     pub fn is_backing_off(&self, now: Timestamp) -> bool {
         self.advertised.is_backing_off(now)
     }
 
-    /// Whether this incarnation has ended, as far as is known.
+    /// Whether this incarnation is known to have ended.
     pub fn has_ended(&self) -> bool {
         self.is_displaced || self.is_superseded
     }
 
-    /// Whether it takes only so many requests of all routers together.
+    /// Whether it advertises a rate limit.
     pub fn is_limited(&self) -> bool {
         self.limit.rate.is_some()
     }
 
-    /// Whether its limit admitted no call lately, so that adapters had better be elsewhere.
+    /// Whether its limit refused a call lately, so that adapters are better loaded elsewhere.
     pub fn was_recently_saturated(&self, now: Timestamp) -> bool {
         self.is_limited()
             && !self.saturated_until.is_zero()
             && now.saturating_sub(self.saturated_until) < SATURATION_TTL
     }
 
-    /// Whether its limit was found to be used up.
+    /// Whether its limit is used up.
     pub fn is_saturated(&self, now: Timestamp) -> bool {
         self.is_limited() && now < self.saturated_until
     }
 
-    /// Whether its loader reports that it does not answer.
+    /// Whether its loader reports that the engine does not answer.
     pub fn is_unresponsive(&self, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| !report.is_answering)
     }
 
-    /// Whether this router requests an adapter here.
+    /// Whether this router requests any adapter here.
     pub fn has_load_request(&self) -> bool {
         !self.load_requests.is_empty()
     }
 
-    /// Adapters for which calls of this router wait here.
+    /// Number of adapters for which calls of this router wait here.
     pub fn awaited_adapters(&self) -> usize {
         self.load_requests.values().filter(|request| request.is_awaited()).count()
     }
 
-    /// Whether the loader has no notice yet of calls that began here, or of an adapter that is no longer in
-    /// use.
+    /// Whether calls that began here, or the end of an adapter's use, were not reported to the loader yet.
     pub fn has_unreported_calls(&self) -> bool {
         self.uses.values().any(|counts| counts.started > 0 || counts.running == 0)
     }
 
-    /// This router's load requests, for the loader.
+    /// This router's load requests, as sent to the loader.
     pub fn list_load_requests(&self, now: Timestamp) -> Vec<LoadRequest> {
         let load_requests = self.load_requests.iter().map(|(adapter, request)| LoadRequest {
             base: Arc::clone(&adapter.base),
@@ -285,7 +286,7 @@
         load_requests.collect()
     }
 
-    /// What the loader is told about this router's calls; counts of started calls begin anew.
+    /// This router's calls, as reported to the loader; resets the counts of started calls.
     pub fn take_uses(&mut self) -> Vec<AdapterUse> {
         let uses = self.uses.iter_mut().map(|(adapter, counts)| AdapterUse {
             base: Arc::clone(&adapter.base),
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -36,7 +36,7 @@
     demand: FleetDemand,
     concurrency: HashMap<ServiceName, ConcurrencyGauge>,
     wait_estimates: WaitEstimates,
-    /// Targets that have left the list, and may come back in the same incarnation.
+    /// Targets that were removed from the list, and may return in the same incarnation.
     departed: HashMap<LimitTag, DepartedTarget>,
 }
 
@@ -62,13 +62,13 @@
         }
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn config(&self) -> &Arc<RouteConfig> {
         &self.config
     }
 
-    /// Takes a configuration if it is newer; returns whether it was. An older one may come from a
-    /// peer that lags, and must never undo a change that callers have seen in force.
+    /// Applies a configuration if it is newer; returns whether it was. An older one may come from a peer that lags, and
+    /// must never undo a change that callers have seen in effect.
     pub fn take_config(&mut self, config: Arc<RouteConfig>) -> bool {
         if config.number <= self.config.number {
             return false;
@@ -78,7 +78,7 @@
         true
     }
 
-    /// Takes a release; versions never fall.
+    /// Applies a release; an adapter's version never decreases.
     pub fn take_release(&mut self, release: AdapterRelease) {
         let known = self.releases.entry(release.adapter).or_insert(release.version);
         *known = release.version.max(*known);
@@ -94,17 +94,17 @@
         self.releases.iter().map(|(adapter, version)| (adapter, *version))
     }
 
-    /// The list's keeper cannot be reached.
+    /// The store of the list cannot be reached; the last list stays in use.
     pub fn note_outage(&mut self) {
         self.list.note_outage();
     }
 
-    /// The list's keeper answers again.
+    /// The store of the list answers again.
     pub fn note_contact(&mut self, now: Timestamp) {
         self.list.note_contact(now);
     }
 
-    /// Replaces the list by a whole one.
+    /// Replaces the list by a snapshot.
     pub fn replace_list(&mut self, entries: Vec<Arc<TargetEntry>>, now: Timestamp) {
         self.list.replace(entries, now);
         self.rebuild();
@@ -118,7 +118,7 @@
         self.rebuild();
     }
 
-    /// Drops what has outlived its time.
+    /// Drops expired entries of the list and expired demand counts.
     pub fn expire(&mut self, now: Timestamp) {
         if self.list.expire(now) {
             self.rebuild();
@@ -131,22 +131,21 @@
         self.list.entries()
     }
 
-    /// One target, if it is in this incarnation.
+    /// A target, if its current incarnation may equal this one.
     pub fn target(&self, incarnation: &TargetIncarnation) -> Option<&TargetState> {
         self.targets
             .get(&incarnation.id)
             .filter(|target| target.entry.incarnation.may_equal(incarnation))
     }
 
-    /// One target, to change it, if it is in this incarnation: calls to the incarnation before end later than
-    /// it, and must not count for the next one.
+    /// The same, for changes. Calls to an earlier incarnation may end after it, and must not count for the next one.
     pub fn target_mut(&mut self, incarnation: &TargetIncarnation) -> Option<&mut TargetState> {
         self.targets
             .get_mut(&incarnation.id)
             .filter(|target| target.entry.incarnation.may_equal(incarnation))
     }
 
-    /// Targets of a service.
+    /// Targets of a service, ordered by id.
     pub fn service_targets(&self, service: &str) -> impl Iterator<Item = &TargetState> {
         let ids = self.by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.targets.get(id))
@@ -157,12 +156,12 @@
         self.targets.values().filter(|target| self.engine_of(target).is_some())
     }
 
-    /// Whether a target's loader is silent, and that was not noted before.
+    /// Whether a target's loader has become silent; true only once for each pending report.
     pub fn note_silence(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
         self.target_mut(incarnation).is_some_and(|target| target.note_silence(now))
     }
 
-    /// What loaders have told lately of loads, for engines of which nothing is known.
+    /// Mean wait times of the fleet, used for engines without a report.
     pub fn wait_estimates(&self) -> &WaitEstimates {
         &self.wait_estimates
     }
@@ -172,12 +171,12 @@
         self.target_mut(incarnation).is_some_and(|target| target.request_report(now))
     }
 
-    /// What engines of a target's service have, if it is an engine.
+    /// Specification of the engines of a target's service, if the target is an engine.
     pub fn engine_of(&self, target: &TargetState) -> Option<&EngineSpec> {
         self.config.services.get(&target.entry.service)?.engine.as_ref()
     }
 
-    /// Base models that a loader may put on an engine of the service.
+    /// Base models that a loader may load into an engine of the service.
     pub fn base_offers(spec: &EngineSpec) -> Vec<BaseOffer> {
         let offers = spec.bases.iter().map(|base| BaseOffer {
             base: Arc::clone(&base.name),
@@ -187,8 +186,8 @@
         offers.collect()
     }
 
-    /// Takes the report of the loader on a host; an older one than the last of the same start is
-    /// dropped. Returns whether it was news.
+    /// Applies a report of the loader on a host, unless it is older than the last one of the same start. Returns whether
+    /// it was applied.
     pub fn take_report(&mut self, host: IpAddr, report: LoaderReport, now: Timestamp) -> bool {
         self.displace_others(host, &report.incarnation);
         let Some(target) = self.target_mut(&report.incarnation) else { return false };
@@ -216,7 +215,7 @@
         true
     }
 
-    /// One engine stands on a host: any other entry there is of an incarnation that has ended.
+    /// A host runs one engine only: any other engine's entry with its address belongs to an incarnation that has ended.
     fn displace_others(&mut self, host: IpAddr, incarnation: &TargetIncarnation) {
         let mut is_changed = false;
         for target in self.targets.values_mut() {
@@ -233,18 +232,18 @@
         }
     }
 
-    /// Counts a call for an adapter towards its demand.
+    /// Adds a call for an adapter to the adapter's demand.
     pub fn record_demand(&mut self, adapter: &AdapterId, now: Timestamp) {
         self.demand.record(adapter, now);
     }
 
-    /// Counts the calls of this router at a service's targets, as a new one comes.
+    /// Samples the number of this router's calls at a service's targets, as a new call arrives.
     pub fn record_concurrency(&mut self, service: &ServiceName) {
         let in_flight = self.service_targets(service).map(|target| target.in_flight).sum();
         self.concurrency.entry(Arc::clone(service)).or_default().record(in_flight);
     }
 
-    /// Whether calls wait at a service's targets, with `routers` routers in all.
+    /// Whether calls queue at a service's targets, by this router's concurrency in a fleet of `routers`.
     pub fn shows_queue(&self, service: &str, routers: usize) -> bool {
         let alive = self.service_targets(service).filter(|target| !target.has_ended());
         let slots = alive.map(|target| target.entry.slots).sum();
@@ -252,12 +251,12 @@
         gauge.is_some_and(|gauge| gauge.shows_queue(routers, slots))
     }
 
-    /// How much adapters are wanted over the fleet.
+    /// Demand for adapters over the fleet.
     pub fn demand(&self) -> &FleetDemand {
         &self.demand
     }
 
-    /// A call goes out to a target; returns whether it is this router's only one there for its adapter.
+    /// A call is sent to a target; returns whether it is this router's only one there for its adapter.
     pub fn call_started(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -275,27 +274,27 @@
         counts.running == 1
     }
 
-    /// The first byte of a call's answer is there, so its prompt has been read.
+    /// The first byte of a call's answer has arrived, so its prompt is prefilled.
     pub fn call_answered(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
         let Some(target) = self.target_mut(incarnation) else { return };
         target.prefill_tokens = target.prefill_tokens.saturating_sub(tokens);
     }
 
-    /// A call ended; `tokens` if its first byte never came.
+    /// A call ended; `tokens` are those of its prompt if no first byte arrived, else 0.
     pub fn call_ended(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
         let Some(target) = self.target_mut(incarnation) else { return };
         target.in_flight = target.in_flight.saturating_sub(1);
         target.prefill_tokens = target.prefill_tokens.saturating_sub(tokens);
     }
 
-    /// A call's answer has ended that came `time` after its sending.
+    /// A call's answer ended `time` after the call was sent.
     pub fn run_ended(&mut self, incarnation: &TargetIncarnation, time: Duration) {
         if self.target(incarnation).is_some_and(|target| self.engine_of(target).is_some()) {
             self.wait_estimates.record_run(time);
         }
     }
 
-    /// A call uses its adapter no longer; returns whether no other call of this router does there.
+    /// A call no longer uses its adapter; returns whether no other call of this router uses it there.
     pub fn use_ended(&mut self, incarnation: &TargetIncarnation, adapter: &AdapterId) -> bool {
         let counts = self.target_mut(incarnation).and_then(|target| target.uses.get_mut(adapter));
         let Some(counts) = counts else { return false };
@@ -303,7 +302,7 @@
         counts.running == 0
     }
 
-    /// Another incarnation answered at the address of this one.
+    /// Another incarnation answered at the address of this one, which has therefore ended.
     pub fn note_displaced(&mut self, incarnation: &TargetIncarnation) {
         if let Some(target) = self.target_mut(incarnation) {
             target.is_displaced = true;
@@ -311,9 +310,9 @@
         }
     }
 
-    /// Two incarnations at one address: the older one cannot listen there any more, but its entry may stand
-    /// in the list for long, and lists come in no order of time. The later incarnation is taken, until it is
-    /// met to have ended itself.
+    /// Marks all but the latest incarnation at each address as superseded: an older one cannot listen there any more, but
+    /// its entry may stay in the list for long, and lists arrive in any order. An incarnation that was displaced does not
+    /// supersede others.
     fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
         // An entry of a service that is not configured was not written by a target.
@@ -331,7 +330,7 @@
         }
     }
 
-    /// Counts how long an answer took.
+    /// Records the latency of an answer.
     pub fn record_latency(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -343,7 +342,7 @@
         }
     }
 
-    /// Counts what a call met.
+    /// Records the outcome of a call.
     pub fn record_outcome(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -355,15 +354,15 @@
         }
     }
 
-    /// Marks a call's first byte as overdue, or no longer so.
+    /// Marks the first byte of one more or one fewer call as overdue.
     pub fn mark_overdue(&mut self, incarnation: &TargetIncarnation, is_overdue: bool) {
         let Some(target) = self.target_mut(incarnation) else { return };
         target.overdue =
             if is_overdue { target.overdue + 1 } else { target.overdue.saturating_sub(1) };
     }
 
-    /// Requests an adapter at a target, with one more call that waits for it, and that meets its
-    /// objective if the adapter is there by `due`.
+    /// Adds a waiting call to an adapter's load request at a target. The call meets its objective if the adapter is
+    /// loaded by `due`.
     pub fn add_waiter(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -378,14 +377,14 @@
             version,
             waiters: Vec::new(),
             priority,
-            made: now,
+            requested: now,
         });
         request.waiters.push(due);
         request.version = request.version.max(version);
         request.priority = request.priority.min(priority);
     }
 
-    /// A call that was due then waits no longer.
+    /// Removes a waiting call with this `due`; without waiting calls, the load request is dropped.
     pub fn remove_waiter(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -394,7 +393,7 @@
     ) {
         let Some(target) = self.target_mut(incarnation) else { return };
         if let Some(request) = target.load_requests.get_mut(adapter) {
-            if let Some(index) = request.waiters.iter().position(|own| *own == due) {
+            if let Some(index) = request.waiters.iter().position(|waiter| *waiter == due) {
                 request.waiters.swap_remove(index);
             }
             if !request.is_awaited() {
@@ -403,7 +402,7 @@
         }
     }
 
-    /// Requests an adapter ahead of calls; returns whether the request is new.
+    /// Requests an adapter before any call waits for it; returns whether the request is new.
     pub fn prefetch(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -417,34 +416,34 @@
             return false;
         }
         let request =
-            LoadRequestState { version, waiters: Vec::new(), priority: u8::MAX, made: now };
+            LoadRequestState { version, waiters: Vec::new(), priority: u8::MAX, requested: now };
         target.load_requests.insert(adapter.clone(), request);
         true
     }
 
-    /// Drops load requests ahead of calls that were not met within `max_age`.
+    /// Drops prefetches that were not fulfilled within `max_age`.
     pub fn drop_old_prefetches(&mut self, max_age: Duration, now: Timestamp) {
         for target in self.targets.values_mut() {
             target.load_requests.retain(|_, request| {
-                request.is_awaited() || now.saturating_sub(request.made) < max_age
+                request.is_awaited() || now.saturating_sub(request.requested) < max_age
             });
         }
     }
 
-    /// Targets follow the list; what is known of those that stay is kept.
+    /// Rebuilds the targets from the list; the state of those that stay in the same incarnation is kept.
     fn rebuild(&mut self) {
-        let mut old = std::mem::take(&mut self.targets);
-        let mut gone = Vec::new();
+        let mut previous = std::mem::take(&mut self.targets);
+        let mut removed = Vec::new();
         self.by_service.clear();
         for entry in self.list.entries() {
             let is_same_incarnation =
                 |state: &TargetState| state.entry.incarnation.may_equal(&entry.incarnation);
-            let state = match old.remove(&entry.incarnation.id) {
+            let state = match previous.remove(&entry.incarnation.id) {
                 Some(state) if is_same_incarnation(&state) => {
                     TargetState { entry: Arc::clone(entry), ..state }
                 }
                 other_incarnation => {
-                    gone.extend(other_incarnation);
+                    removed.extend(other_incarnation);
                     let mut state = TargetState::new(Arc::clone(entry));
                     let departed = self.departed.remove(&entry.incarnation.stable_hash());
                     let departed = departed.unwrap_or_default();
@@ -459,7 +458,7 @@
         for ids in self.by_service.values_mut() {
             ids.sort_unstable();
         }
-        self.keep_departed(gone.into_iter().chain(old.into_values()));
+        self.keep_departed(removed.into_iter().chain(previous.into_values()));
         self.mark_superseded();
     }
 }
--- a/crates/core/src/direct/targets/advertised.rs
+++ b/crates/core/src/direct/targets/advertised.rs
@@ -1,4 +1,4 @@
-//! What targets advertise of themselves, also after they have left the list.
+//! Draining and backoff as targets advertise them, also after their entries were removed from the list.
 
 use super::{
     super::{advertised_state::AdvertisedState, membership::TargetIncarnation},
@@ -8,13 +8,12 @@
 use std::time::Duration;
 
 impl TargetPool {
-    /// A target's answer says that it drains; returns whether that is new.
+    /// Records that a target's answer advertises draining; returns whether that is new.
     pub fn record_draining(&mut self, incarnation: &TargetIncarnation, now: Timestamp) -> bool {
         self.update_advertised(incarnation, |advertised| advertised.record_draining(now))
     }
 
-    /// A target's answer asks for no requests for `backoff`; returns whether the target was not backing off
-    /// before.
+    /// Records that a target's answer requests a backoff; returns whether the target was not backing off before.
     pub fn record_backoff(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -24,7 +23,8 @@
         self.update_advertised(incarnation, |advertised| advertised.record_backoff(backoff, now))
     }
 
-    /// When a target of the service may take requests again, if all that are left have asked for none.
+    /// Time until the first target of the service ends its backoff; `None` if a live one accepts requests now, or none is
+    /// live.
     pub fn backoff_left(&self, service: &str, now: Timestamp) -> Option<Duration> {
         let alive = self.service_targets(service).filter(|target| {
             !target.is_draining() && !target.has_ended() && !target.is_unresponsive(now)
@@ -33,7 +33,7 @@
         Some(first.saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
-    /// An answer may come after its target's entry has lapsed.
+    /// Updates a target, or its record after its entry was removed: an answer may arrive later than that.
     fn update_advertised(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -43,8 +43,8 @@
             return change(&mut target.advertised);
         }
         let departed = self.departed.entry(incarnation.stable_hash()).or_default();
-        let is_news = change(&mut departed.advertised);
+        let is_new = change(&mut departed.advertised);
         self.bound_departed();
-        is_news
+        is_new
     }
 }
--- a/crates/core/src/direct/targets/departed.rs
+++ b/crates/core/src/direct/targets/departed.rs
@@ -1,4 +1,4 @@
-//! Targets that have left the list: an entry may lapse while its target lives, and come back in the same
+//! Targets that were removed from the list: an entry may expire while its target runs, and return in the same
 //! incarnation.
 
 use super::{
@@ -7,10 +7,10 @@
 };
 use crate::ids::Timestamp;
 
-/// Targets that have left the list of which is kept what they have advertised.
+/// Removed targets whose advertised state is kept.
 const DEPARTED_LIMIT: usize = 256;
 
-/// What a target advertised before it left the list.
+/// What a target advertised before or after its entry was removed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DepartedTarget {
     pub(super) limit: KnownLimit,
@@ -24,7 +24,7 @@
 }
 
 impl TargetPool {
-    /// Keeps what targets have advertised that have left the list.
+    /// Keeps what removed targets have advertised, if that may still hold.
     pub(super) fn keep_departed(&mut self, departed: impl Iterator<Item = TargetState>) {
         let known = departed.filter(|target| target.is_limited() || target.advertised.is_known());
         self.departed.extend(known.map(|target| {
@@ -34,7 +34,7 @@
         self.bound_departed();
     }
 
-    /// Forgets the targets that have been silent for longest.
+    /// Drops the targets with the oldest advertised state beyond `DEPARTED_LIMIT`.
     pub(super) fn bound_departed(&mut self) {
         while self.departed.len() > DEPARTED_LIMIT {
             let oldest = self.departed.iter().min_by_key(|(_, departed)| departed.as_of());
--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that targets advertise.
+//! Rate limits that targets advertise.
 
 use super::{
     super::{
@@ -12,19 +12,20 @@
 use std::{collections::HashMap, time::Duration};
 
 impl TargetPool {
-    /// Takes what an answer says of the requests that its target takes, to a call that was sent at `sent`;
-    /// returns whether the target's limit has changed.
+    /// Records the limit that an answer advertises, to a call that was sent at `sent`; returns whether the target's limit
+    /// has changed.
     pub fn record_limit(
         &mut self,
         incarnation: &TargetIncarnation,
-        stated: AdvertisedLimit,
+        advertised: AdvertisedLimit,
         sent: Timestamp,
         now: Timestamp,
     ) -> bool {
-        self.target_mut(incarnation).is_some_and(|target| target.limit.record(stated, sent, now))
+        self.target_mut(incarnation)
+            .is_some_and(|target| target.limit.record(advertised, sent, now))
     }
 
-    /// Applies what others know of targets' limits; returns the targets whose limits have changed.
+    /// Applies updates of targets' limits from other processes; returns the targets whose limits have changed.
     pub fn apply_limit_updates(
         &mut self,
         updates: &[LimitUpdate],
@@ -37,8 +38,10 @@
             updates.iter().map(|update| (update.tag, update)).collect();
         let mut changed = Vec::new();
         for target in self.targets.values_mut() {
-            let Some(found) = by_tag.get(&target.entry.incarnation.stable_hash()) else { continue };
-            if target.limit.apply_update(found, now) {
+            let Some(update) = by_tag.get(&target.entry.incarnation.stable_hash()) else {
+                continue;
+            };
+            if target.limit.apply_update(update, now) {
                 changed.push(target.entry.incarnation.clone());
             }
         }
@@ -50,7 +53,7 @@
         changed
     }
 
-    /// Updates of targets' limits to send to others.
+    /// Updates of targets' limits to send to other processes.
     pub fn limit_updates(&self, now: Timestamp) -> Vec<LimitUpdate> {
         let limited = self.targets.values().filter(|target| target.limit.is_reported(now));
         let listed = limited.map(|target| (target.entry.incarnation.stable_hash(), &target.limit));
@@ -58,21 +61,21 @@
         limit_updates(listed.chain(departed), now)
     }
 
-    /// Whether limits of targets are to be kept, or their ends to be sent.
+    /// Whether any listed target has a limit, or had one whose end is still sent to others.
     pub fn has_limit_updates(&self, now: Timestamp) -> bool {
         self.targets.values().any(|target| target.limit.is_reported(now))
     }
 
-    /// A target's limit was found to be used up until then.
+    /// Records that a target's limit is used up until then.
     pub fn record_saturation(&mut self, incarnation: &TargetIncarnation, until: Timestamp) {
         if let Some(target) = self.target_mut(incarnation) {
             target.saturated_until = until;
         }
     }
 
-    /// When a target of the service may take calls again, if one is saturated now.
+    /// Time until the first saturated target of the service admits calls again; `None` if none is saturated.
     pub fn limit_retry_after(&self, service: &str, now: Timestamp) -> Option<Duration> {
-        let full = self.service_targets(service).filter(|target| target.is_saturated(now));
-        full.map(|target| target.saturated_until.saturating_sub(now)).min()
+        let saturated = self.service_targets(service).filter(|target| target.is_saturated(now));
+        saturated.map(|target| target.saturated_until.saturating_sub(now)).min()
     }
 }
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -1,26 +1,25 @@
-//! How long runs last, and loads take and wait at engines, on the mean, as one router sees it.
+//! Mean times of runs, loads and waits over all engines, as one router sees them.
 //!
-//! Pattern: a router knows only the engines that it asked lately. While one that it did not know counted as
-//! idle, each engine that was known to be busy looked worse than any unknown one: calls left the engines
-//! where their adapters belong for others that turned out no better, and each had its adapter fetched from
-//! the weight store once more. An engine of which nothing is known is as busy as the others.
+//! They stand in for engines without a recent report, as a router has reports only of engines that it queried lately.
+//! If an unknown engine counted as idle, it would look better than any engine that is known to be busy: calls would
+//! leave the engines that their adapters are assigned to for others that turn out no less busy, and each such call
+//! would load its adapter from the weight store once more.
 
 use super::messages::LoaderReport;
 use std::time::Duration;
 
-/// Time in ms of a load from the weight store before any loader has told one: an assumption, replaced by the
-/// first reports.
+/// Initial load time in ms from the weight store, until the first reports replace it.
 const PRIOR_LOAD_MS: f64 = 250.0;
-/// Share of a new report in the means: a router hears some ten reports a second, and how busy the fleet is
-/// changes within about a second.
+/// Weight of a new report in the means: a router receives some ten reports a second, and the fleet's load changes
+/// within about a second.
 const REPORT_WEIGHT: f64 = 0.1;
-/// Time in ms of a run before any has ended: an assumption, replaced by the first runs.
+/// Initial run time in ms, until the first runs replace it.
 const PRIOR_RUN_MS: f64 = 400.0;
-/// Share of a new run in the mean: a router sees some ten a second, long and short ones.
+/// Weight of a new run in the mean: a router completes some ten a second, long and short ones.
 const RUN_WEIGHT: f64 = 0.05;
-/// Wait for each load before this one that waits for a slot at an engine all of whose adapters are in use.
-/// Runs last 0.4 s on the mean, and of ten adapters in use some two are shared by other calls, so that a slot
-/// comes free about this often.
+/// Wait in ms for each load in the queue for an adapter slot, at an engine whose loaded adapters are all in use. Runs
+/// last 0.4 s on average, and of ten adapters in use some two are used by several calls, so that a slot
+/// becomes free about this often.
 const SLOT_MS: f64 = 60.0;
 
 /// Means over the reports of all loaders and this router's runs at all engines, in milliseconds.
@@ -39,30 +38,30 @@
 }
 
 impl WaitEstimates {
-    /// Takes what a loader tells.
+    /// Adds a loader's report to the means.
     pub fn record(&mut self, report: &LoaderReport) {
-        let blend = |mean: &mut f64, told: f64| *mean += REPORT_WEIGHT * (told - *mean);
+        let blend = |mean: &mut f64, reported: f64| *mean += REPORT_WEIGHT * (reported - *mean);
         blend(&mut self.load, f64::from(report.load_ms));
         blend(&mut self.slot, slot_wait_ms(report));
         blend(&mut self.queue, f64::from(report.queue_ms));
     }
 
-    /// A run at an engine has ended that took so long, from its sending on.
+    /// Adds a run that ended at an engine `time` after its call was sent.
     pub fn record_run(&mut self, time: Duration) {
         self.run += RUN_WEIGHT * (time.as_secs_f64() * 1_000.0 - self.run);
     }
 
-    /// Time after which the next slot of a full batch of `slots` comes free, in milliseconds.
+    /// Wait for the next free slot of a full batch of `slots`, in milliseconds.
     pub fn batch_wait_ms(&self, slots: u32) -> f64 {
         self.run / f64::from(slots.max(1))
     }
 
-    /// Time of a load from the weight store, in milliseconds.
+    /// Duration of a load from the weight store, in milliseconds.
     pub fn load_ms(&self) -> f64 {
         self.load
     }
 
-    /// Wait for a slot for an adapter, in milliseconds.
+    /// Wait for a free adapter slot, in milliseconds.
     pub fn slot_wait_ms(&self) -> f64 {
         self.slot
     }
@@ -73,7 +72,7 @@
     }
 }
 
-/// Wait for a slot for an adapter at the engine of a report, in milliseconds.
+/// Wait for a free adapter slot at the engine of a report, in milliseconds.
 pub(super) fn slot_wait_ms(report: &LoaderReport) -> f64 {
     f64::from((1 - report.free_slots).max(0)) * SLOT_MS
 }
