--- a/crates/core/tests/core/direct/backlog.rs
+++ b/crates/core/tests/core/direct/backlog.rs
@@ -1,4 +1,4 @@
-//! Prompts that engines have not read yet.
+//! Prompt tokens that engines have not prefilled yet.
 
 use super::support::{ENGINES, adapter, config, model_call, ms, pool, report, target};
 use plantain_core::direct::{
@@ -9,7 +9,7 @@
 };
 use std::sync::Arc;
 
-/// Prompts come one after the other; each is read while the next ones wait.
+/// Prompts are prefilled in order of arrival; guards against a backlog that falls at the wrong rate, or below zero.
 #[test]
 fn prompts_are_read_in_time() {
     let mut backlog = PrefillBacklog::default();
@@ -24,21 +24,21 @@
     assert_eq!(backlog.read(ms(5_000)), 380);
 }
 
-fn told(pool: &mut TargetPool, id: &str, prefill_tokens: u32, at: u64) {
+fn apply_report(pool: &mut TargetPool, id: &str, prefill_tokens: u32, at: u64) {
     let host = pool.target(&id.into()).expect("a known target").entry.address.ip();
-    let told = LoaderReport { prefill_tokens, ..report(id, at as u32 + 1, &[("h7", 1)]) };
-    pool.take_report(host, told, ms(at));
+    let loader_report = LoaderReport { prefill_tokens, ..report(id, at as u32 + 1, &[("h7", 1)]) };
+    pool.take_report(host, loader_report, ms(at));
 }
 
 /// Two engines hold an adapter, and another router has just sent a prompt of 15,000 tokens to one of them.
-/// A call sent after it would have its first byte 0.4 s later than at the other one.
+/// A call sent there would get its first byte 0.4 s later than at the other engine.
 #[test]
 fn calls_do_not_queue_behind_long_prompts_of_other_routers() {
     let mut pool = pool();
     for (busy, free) in [("e1", "e2"), ("e2", "e1")] {
         let at = if busy == "e1" { 10 } else { 2_000 };
-        told(&mut pool, busy, 15_000, at);
-        told(&mut pool, free, 0, at);
+        apply_report(&mut pool, busy, 15_000, at);
+        apply_report(&mut pool, free, 0, at);
         let call = model_call(Some("h7"));
         let (service, zone) = (ENGINES.into(), "a".into());
         let need = CallNeed {
@@ -55,13 +55,14 @@
     }
 }
 
-/// A report says what waited when it was made. A second later that has been read.
+/// A report states the tokens that were pending when it was made; guards against counting them a second later, when
+/// they are prefilled.
 #[test]
 fn what_was_reported_is_prefilled_meanwhile() {
     let mut pool = TargetPool::new();
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list(vec![Arc::new(target("e1", ENGINES, "a", 1))], ms(0));
-    told(&mut pool, "e1", 7_600, 0);
+    apply_report(&mut pool, "e1", 7_600, 0);
     let prefill =
         |pool: &TargetPool, at| pool.target(&"e1".into()).expect("e1").fleet_prefill_tokens(ms(at));
     assert!((prefill(&pool, 100) - 3_800.0).abs() < 1.0);
--- a/crates/core/tests/core/direct/budget.rs
+++ b/crates/core/tests/core/direct/budget.rs
@@ -1,4 +1,4 @@
-//! The fleet's budget of repeats.
+//! The fleet's retry budget.
 
 use super::support::ms;
 use plantain_core::direct::budget::{FleetRetryBudget, RetryAllowance};
@@ -8,19 +8,19 @@
 const ALLOWANCE: RetryAllowance =
     RetryAllowance { ratio: 0.2, slack: 12.0, window: Duration::from_secs(10) };
 
-/// Whether the repeats in the window that ends at `now` are within the allowance.
+/// Whether the retries in the window that ends at `now` are within the allowance.
 fn is_within(calls: &[Duration], retries: &[Duration], now: Duration) -> bool {
-    let inside = |times: &[Duration]| {
+    let in_window = |times: &[Duration]| {
         times.iter().filter(|time| now.saturating_sub(**time) < ALLOWANCE.window).count()
     };
-    inside(retries) as f64 <= ALLOWANCE.ratio * inside(calls) as f64 + ALLOWANCE.slack
+    in_window(retries) as f64 <= ALLOWANCE.ratio * in_window(calls) as f64 + ALLOWANCE.slack
 }
 
-/// Targets refuse everything for a while: each router would repeat each call, and the repeats of all
-/// routers together would be the load that keeps the targets down. Whatever comes in whatever order,
-/// the sum over all routers in any window stays within the allowance.
+/// Guards against retry storms: targets refuse everything for a while, and if each router retried each call, the
+/// retries would keep the targets overloaded. The sum over all routers in any window must stay within the allowance,
+/// for any order of calls and retries.
 #[test]
-fn routers_together_never_pass_the_allowance() {
+fn routers_together_stay_within_the_allowance() {
     fn property(steps: Vec<(u8, u16)>) -> bool {
         const ROUTERS: usize = 3;
         let mut budgets = vec![FleetRetryBudget::new(ALLOWANCE, Duration::ZERO); ROUTERS];
@@ -43,31 +43,31 @@
     QuickCheck::new().tests(300).quickcheck(property as fn(Vec<(u8, u16)>) -> bool);
 }
 
-/// All routers are killed at once while targets refuse everything, and each starts again knowing neither
-/// the others nor its own earlier repeats. If each took the slack anew, and the whole of it, the fleet
-/// would repeat several times what it may, just as everything starts cold.
+/// All routers are killed at once while targets refuse everything, and restart without knowing the others or their own
+/// earlier retries. If each used the full slack again, the fleet would exceed its allowance several times over,
+/// while everything is cold.
 #[test]
-fn routers_that_restart_get_no_slack_anew() {
+fn restarted_routers_get_no_additional_slack() {
     fn property(steps: Vec<(u8, u16)>) -> bool {
         const ROUTERS: usize = 3;
-        const LONELY: Duration = Duration::from_millis(1_500);
+        const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
         let mut now = ALLOWANCE.window;
-        let mut incarnations =
+        let mut routers =
             vec![(FleetRetryBudget::new(ALLOWANCE, Duration::ZERO), Duration::ZERO); ROUTERS];
-        let (mut calls, mut retries, mut killed) = (Vec::new(), Vec::new(), Duration::ZERO);
+        let (mut calls, mut retries, mut last_kill) = (Vec::new(), Vec::new(), Duration::ZERO);
         for (choice, pause) in steps {
             now += ms(u64::from(pause % 200));
-            let (budget, started) = &mut incarnations[usize::from(choice) % ROUTERS];
-            let is_lonely = now.saturating_sub(*started) < LONELY;
-            let known = if is_lonely { 1 } else { ROUTERS };
+            let (budget, started) = &mut routers[usize::from(choice) % ROUTERS];
+            let is_alone = now.saturating_sub(*started) < DISCOVERY_TIME;
+            let known = if is_alone { 1 } else { ROUTERS };
             match choice % 16 {
                 0..=3 => {
                     budget.record_call(now);
                     calls.push(now);
                 }
-                4 if now.saturating_sub(killed) >= ALLOWANCE.window => {
-                    incarnations.fill((FleetRetryBudget::new(ALLOWANCE, now), now));
-                    killed = now;
+                4 if now.saturating_sub(last_kill) >= ALLOWANCE.window => {
+                    routers.fill((FleetRetryBudget::new(ALLOWANCE, now), now));
+                    last_kill = now;
                 }
                 _ if budget.try_retry(now, known) => retries.push(now),
                 _ => {}
@@ -84,8 +84,8 @@
 #[test]
 fn an_idle_router_has_its_share_of_the_slack_and_gets_it_back() {
     let mut budget = FleetRetryBudget::new(ALLOWANCE, ms(0));
-    assert!(budget.try_retry(ms(9_800), 2), "one while it is fresh");
-    assert!(!budget.try_retry(ms(9_900), 2), "it has not lived for a window");
+    assert!(budget.try_retry(ms(9_800), 2), "one retry within a window of the start");
+    assert!(!budget.try_retry(ms(9_900), 2), "the start was less than a window ago");
     let taken = (0..100).filter(|_| budget.try_retry(ms(20_500), 2)).count();
     assert_eq!(taken, 4, "0.7 of 12, shared by two");
     assert!(!budget.try_retry(ms(25_000), 2));
--- a/crates/core/tests/core/direct/customers.rs
+++ b/crates/core/tests/core/direct/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: their keys, and limits that the whole fleet keeps together.
+//! Customers: their keys, and limits that all routers enforce together.
 
 pub(super) mod fleet;
 mod keys;
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -1,5 +1,4 @@
-//! Routers and meters as state machines that exchange their real messages, with delays and losses, in
-//! simulated time.
+//! Simulation of routers and meters that exchange their real messages, with delays and losses, in simulated time.
 
 use super::super::support::ms;
 use plantain_core::{
@@ -27,11 +26,11 @@
     time::Duration,
 };
 
-/// Pause between looks at what is due.
-const LOOK_MS: u64 = 50;
-/// Pause between looks at the fleet.
-const FLEET_MS: u64 = 200;
-/// The customer.
+/// Interval in ms of sending due reports.
+const REPORT_MS: u64 = 50;
+/// Interval in ms of refreshing a router's limits and fleet.
+const REFRESH_MS: u64 = 200;
+/// Name of the only customer.
 const CUSTOMER: &str = "temple";
 
 pub const TERMS: LimitTerms =
@@ -41,7 +40,7 @@
     UsageLimit { unit: UsageUnit::Tokens { plain: 200 }, rate, burst }
 }
 
-/// How a customer's limit is kept.
+/// Rule under which a customer's limit is enforced.
 pub fn customer_rule(limit: UsageLimit) -> LimitRule {
     LimitRule { limit, terms: TERMS, is_used_before: false }
 }
@@ -51,7 +50,7 @@
     Arc::new(CustomerRule { name, keys, priority: None, limit: Some(limit) })
 }
 
-/// What a call has come to.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct RunRecord {
     pub at: Timestamp,
@@ -59,7 +58,7 @@
     pub is_run: bool,
 }
 
-/// Most units run in any window.
+/// Most units that ran in any window.
 pub fn worst_window(records: &[RunRecord], window: Duration) -> f64 {
     let mut runs: Vec<&RunRecord> = records.iter().filter(|record| record.is_run).collect();
     runs.sort_unstable_by_key(|record| record.at);
@@ -76,27 +75,27 @@
 }
 
 /// Most units that may run in a window.
-pub fn most(limit: &UsageLimit, terms: &LimitTerms) -> f64 {
+pub fn max_units(limit: &UsageLimit, terms: &LimitTerms) -> f64 {
     limit.total(terms.window) * (1.0 + terms.overage) + terms.slack
 }
 
-/// Part of the units asked for that were refused.
+/// Part of the requested units that were refused.
 pub fn refused_share(records: &[RunRecord], from: Timestamp) -> f64 {
     let asked = records.iter().filter(|record| record.at >= from);
-    let (mut all, mut refused) = (0.0, 0.0);
+    let (mut total, mut refused) = (0.0, 0.0);
     for record in asked {
-        all += f64::from(record.cost);
+        total += f64::from(record.cost);
         refused += if record.is_run { 0.0 } else { f64::from(record.cost) };
     }
-    refused / f64::max(all, 1.0)
+    refused / f64::max(total, 1.0)
 }
 
-enum Parcel {
+enum Datagram {
     Report(usize, usize, UsageReport),
     Grant(usize, UsageGrant),
 }
 
-/// A fleet of routers and meters.
+/// Simulated fleet of routers and meters with one limit.
 pub struct LimitFleet {
     pub now_ms: u64,
     pub limit: UsageLimit,
@@ -105,26 +104,26 @@
     pub records: Vec<RunRecord>,
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of them.
+    /// Bytes of the datagrams sent.
     pub bytes: u64,
     /// Part of the datagrams that are lost.
     pub loss: f64,
-    /// Router and meter that do not reach each other.
+    /// Whether a router and a meter do not reach each other.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// Meters and routers that stand still until then, in ms.
+    /// Meters and routers that are frozen, with the end in ms.
     pub frozen_meters: HashMap<usize, u64>,
     pub frozen_routers: HashMap<usize, u64>,
     terms: LimitTerms,
     /// Whether calls may have used the limit before it was known.
     is_used_before: bool,
-    /// Whether routers know each other by their reports in the store alone.
-    pub are_strangers: bool,
+    /// Whether routers know each other only by their reports in the store.
+    pub is_store_only: bool,
     started: Vec<Timestamp>,
     routers: Vec<AccountTable>,
     meters: Vec<UsageMeter>,
-    books: Vec<LimitTable>,
+    tables: Vec<LimitTable>,
     targets: Vec<InstanceId>,
-    parcels: HashMap<u64, Parcel>,
+    datagrams: HashMap<u64, Datagram>,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     next: u64,
     waiting: HashMap<(usize, CallTicket), (Timestamp, u32)>,
@@ -153,26 +152,26 @@
             frozen_routers: HashMap::new(),
             terms: rule.terms,
             is_used_before: rule.is_used_before,
-            are_strangers: false,
+            is_store_only: false,
             started: vec![Duration::ZERO; routers],
             routers: (0..routers)
                 .map(|_| AccountTable::new(rng.random(), Duration::ZERO))
                 .collect(),
             meters: (0..meters).map(|_| UsageMeter::new(rng.random())).collect(),
-            books: (0..meters).map(|_| LimitTable::default()).collect(),
+            tables: (0..meters).map(|_| LimitTable::default()).collect(),
             targets: (0..meters).map(|meter| format!("e{meter}").into()).collect(),
-            parcels: HashMap::new(),
+            datagrams: HashMap::new(),
             due: BinaryHeap::new(),
             next: 0,
             waiting: HashMap::new(),
             rng,
         };
-        // The fleet has stood for a while.
-        fleet.pass(2_000);
+        // Lets routers enrol and meters settle.
+        fleet.advance(2_000);
         fleet
     }
 
-    /// A new configuration changes the limit; each router has it at its next look.
+    /// Changes the limit by a new configuration; each router applies it at its next refresh.
     pub fn set_limit(&mut self, limit: UsageLimit) {
         self.limit = limit;
         self.rule = customer(limit);
@@ -183,15 +182,15 @@
         ms(self.now_ms)
     }
 
-    /// How many routers one of them knows, and presumes.
+    /// Fleet size as one router knows it.
     fn size(&self, router: usize) -> FleetSize {
-        let all = self.routers.len();
-        if !self.are_strangers {
-            return FleetSize::new(all, all);
+        let total = self.routers.len();
+        if !self.is_store_only {
+            return FleetSize::new(total, total);
         }
         let mut peer_table = RouterTable::default();
         peer_table.note_listed();
-        for other in (0..all).filter(|other| *other != router) {
+        for other in (0..total).filter(|other| *other != router) {
             peer_table.note_name(&format!("r{other}").into(), self.now());
         }
         FleetSize::new(1, peer_table.presumed(1, self.started[router], self.now()))
@@ -201,25 +200,26 @@
         LimitRule { limit: self.limit, terms: self.terms, is_used_before: self.is_used_before }
     }
 
-    /// The router starts again, knowing nothing.
+    /// Restarts a router without its state; its waiting calls are refused.
     pub fn restart_router(&mut self, router: usize) {
         self.routers[router] = AccountTable::new(self.rng.random(), self.now());
         self.started[router] = self.now();
         let at = self.now();
-        let gone: Vec<_> = self.waiting.keys().filter(|(own, _)| *own == router).copied().collect();
-        for key in gone {
+        let canceled: Vec<_> =
+            self.waiting.keys().filter(|(own, _)| *own == router).copied().collect();
+        for key in canceled {
             let (_, cost) = self.waiting.remove(&key).expect("a call that waits");
             self.records.push(RunRecord { at, cost, is_run: false });
         }
     }
 
-    /// The meter starts again, knowing nothing.
+    /// Restarts a meter without its state.
     pub fn restart_meter(&mut self, meter: usize) {
         self.meters[meter] = UsageMeter::new(self.rng.random());
     }
 
-    /// One fault drawn at random, or none; says which.
-    pub fn disturb(&mut self, rng: &mut StdRng) -> Option<String> {
+    /// Injects one random fault or none; returns its description.
+    pub fn inject_fault(&mut self, rng: &mut StdRng) -> Option<String> {
         let (routers, meters) = (self.routers.len(), self.meters.len());
         let at = self.now_ms;
         let until = at + rng.random_range(100..6_000);
@@ -228,11 +228,11 @@
         match rng.random_range(0..7) {
             0 if meters > 0 => {
                 self.restart_meter(meter);
-                Some(format!("{at}: meter {meter} starts again"))
+                Some(format!("{at}: meter {meter} restarts"))
             }
             1 => {
                 self.restart_router(router);
-                Some(format!("{at}: router {router} starts again"))
+                Some(format!("{at}: router {router} restarts"))
             }
             2 => {
                 self.frozen_meters.insert(meter, until);
@@ -246,17 +246,17 @@
                 let (zones, phase) = (rng.random_range(2..4), rng.random_range(0..3));
                 self.is_cut =
                     Box::new(move |router, meter| router % zones != (meter + phase) % zones);
-                Some(format!("{at}: {zones} zones part"))
+                Some(format!("{at}: {zones} zones are partitioned"))
             }
             5 => {
                 self.is_cut = Box::new(|_, _| false);
-                Some(format!("{at}: cuts heal"))
+                Some(format!("{at}: partitions end"))
             }
             _ => None,
         }
     }
 
-    /// A call comes in.
+    /// A call arrives at a router.
     pub fn call(&mut self, router: usize, cost: u32) {
         let now = self.now();
         let rule = self.limit_rule();
@@ -280,8 +280,8 @@
         self.records.push(RunRecord { at, cost, is_run });
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the simulated time.
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now_ms += 1;
             self.deliver();
@@ -290,9 +290,9 @@
                 if self.frozen_routers.get(&router).is_some_and(|until| *until > self.now_ms) {
                     continue;
                 }
-                // Each router looks at times of its own.
-                let phase = router as u64 * LOOK_MS / routers;
-                if self.now_ms % FLEET_MS == phase {
+                // Routers run at different phases of the intervals.
+                let phase = router as u64 * REPORT_MS / routers;
+                if self.now_ms % REFRESH_MS == phase {
                     let (now, targets) = (self.now(), self.targets.clone());
                     self.routers[router].set_limits(
                         self.config,
@@ -301,9 +301,9 @@
                     let fleet = self.size(router);
                     self.routers[router].set_fleet(fleet, targets, now);
                     self.routers[router].expire(now);
-                    self.settle(router);
+                    self.record_decided(router);
                 }
-                if self.now_ms % LOOK_MS == phase {
+                if self.now_ms % REPORT_MS == phase {
                     self.send_reports(router);
                 }
             }
@@ -313,25 +313,30 @@
     fn deliver(&mut self) {
         while self.due.peek().is_some_and(|Reverse((at, _))| *at <= self.now_ms) {
             let Some(Reverse((_, number))) = self.due.pop() else { return };
-            let Some(parcel) = self.parcels.remove(&number) else { continue };
+            let Some(datagram) = self.datagrams.remove(&number) else { continue };
             let now = self.now();
-            match parcel {
-                Parcel::Report(router, meter, report) => {
+            match datagram {
+                Datagram::Report(router, meter, report) => {
                     if let Some(until) = self.frozen(&self.frozen_meters, meter) {
-                        self.put(until, Parcel::Report(router, meter, report));
+                        self.schedule(until, Datagram::Report(router, meter, report));
                     } else if let Some(grant) =
-                        self.meters[meter].take(&report, &self.books[meter], now)
+                        self.meters[meter].take(&report, &self.tables[meter], now)
                     {
-                        self.send(router, meter, grant_bytes(&grant), Parcel::Grant(router, grant));
+                        self.send(
+                            router,
+                            meter,
+                            grant_bytes(&grant),
+                            Datagram::Grant(router, grant),
+                        );
                     }
                 }
-                Parcel::Grant(router, grant) => {
+                Datagram::Grant(router, grant) => {
                     if let Some(until) = self.frozen(&self.frozen_routers, router) {
-                        self.put(until, Parcel::Grant(router, grant));
+                        self.schedule(until, Datagram::Grant(router, grant));
                         continue;
                     }
                     self.routers[router].take_grant(&grant, now);
-                    self.settle(router);
+                    self.record_decided(router);
                     self.send_reports(router);
                 }
             }
@@ -342,7 +347,7 @@
         frozen.get(&index).copied().filter(|until| *until > self.now_ms)
     }
 
-    fn settle(&mut self, router: usize) {
+    fn record_decided(&mut self, router: usize) {
         for (ticket, decision) in self.routers[router].take_decided() {
             if let Some((_, cost)) = self.waiting.remove(&(router, ticket)) {
                 self.record(decision, cost, self.now());
@@ -355,37 +360,43 @@
         for (target, report) in self.routers[router].take_reports(&[], now) {
             let meter = self.targets.iter().position(|own| *own == target).expect("a meter");
             let bytes = postcard::to_allocvec(&report).expect("a message").len();
-            self.send(router, meter, bytes, Parcel::Report(router, meter, report));
+            self.send(router, meter, bytes, Datagram::Report(router, meter, report));
         }
     }
 
-    fn send(&mut self, router: usize, meter: usize, bytes: usize, parcel: Parcel) {
+    fn send(&mut self, router: usize, meter: usize, bytes: usize, datagram: Datagram) {
         self.sent += 1;
         self.bytes += bytes as u64;
         if (self.is_cut)(router, meter) || self.rng.random_bool(self.loss) {
             return;
         }
         let delay = self.rng.random_range(1..4);
-        self.put(self.now_ms + delay, parcel);
+        self.schedule(self.now_ms + delay, datagram);
     }
 
-    fn put(&mut self, at: u64, parcel: Parcel) {
+    fn schedule(&mut self, at: u64, datagram: Datagram) {
         self.next += 1;
-        self.parcels.insert(self.next, parcel);
+        self.datagrams.insert(self.next, datagram);
         self.due.push(Reverse((at, self.next)));
     }
 }
 
-/// Plays seeds, the same each time; `LIMIT_PLAYS=5000` plays as many others.
-pub fn check_plays(play: fn(u64) -> bool) {
-    let others = env::var("LIMIT_PLAYS").ok().and_then(|plays| plays.parse().ok());
-    let random = if others.is_some() { Gen::new(100) } else { Gen::from_size_and_seed(100, 1) };
-    let plays = others.unwrap_or(100);
-    QuickCheck::new().rng(random).tests(plays).max_tests(plays).quickcheck(play);
+/// Runs a simulation with 100 fixed seeds; `LIMIT_PLAYS=5000` runs 5,000 random ones instead.
+pub fn check_seeds(simulate: fn(u64) -> bool) {
+    let random_plays = env::var("LIMIT_PLAYS").ok().and_then(|plays| plays.parse().ok());
+    let random =
+        if random_plays.is_some() { Gen::new(100) } else { Gen::from_size_and_seed(100, 1) };
+    let plays = random_plays.unwrap_or(100);
+    QuickCheck::new().rng(random).tests(plays).max_tests(plays).quickcheck(simulate);
 }
 
-/// A router that does not stand still: the one picked, or the first.
-pub fn awake(frozen: &HashMap<usize, u64>, picked: usize, routers: usize, now_ms: u64) -> usize {
+/// A router that is not frozen: the picked one, or else the first such one.
+pub fn unfrozen_router(
+    frozen: &HashMap<usize, u64>,
+    picked: usize,
+    routers: usize,
+    now_ms: u64,
+) -> usize {
     if frozen.get(&picked).is_some_and(|until| *until > now_ms) {
         (0..routers).find(|own| !frozen.contains_key(own)).unwrap_or(picked)
     } else {
@@ -393,8 +404,8 @@
     }
 }
 
-/// Asks in turn, at a rate, for `seconds`; `pick` names the router of each call.
-pub fn load(
+/// Sends calls for `seconds` at a rate of units a second; `pick` selects the router of each call.
+pub fn send_calls(
     fleet: &mut LimitFleet,
     rate: f64,
     costs: (u32, u32),
@@ -405,15 +416,15 @@
     let mean = f64::from(costs.0 + costs.1) / 2.0;
     let calls_per_ms = rate / mean / 1_000.0;
     for _ in 0..seconds * 1_000 {
-        let mut expected = calls_per_ms;
-        while expected > 0.0 {
-            if rng.random_bool(expected.min(1.0)) {
+        let mut expected_calls = calls_per_ms;
+        while expected_calls > 0.0 {
+            if rng.random_bool(expected_calls.min(1.0)) {
                 let router = pick(&mut rng, fleet.now_ms);
                 fleet.call(router, rng.random_range(costs.0..=costs.1));
             }
-            expected -= 1.0;
+            expected_calls -= 1.0;
         }
-        fleet.pass(1);
+        fleet.advance(1);
     }
 }
 
--- a/crates/core/tests/core/direct/customers/keys.rs
+++ b/crates/core/tests/core/direct/customers/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: whose a call is, and that a key is never written.
+//! Keys: identification of callers, and secrecy of the keys.
 
 use plantain_core::direct::customers::{
     CallerIdentity, CustomerFault, CustomerRule, CustomerTable,
@@ -20,14 +20,14 @@
     name: &'static str,
     values: &'static [&'static [u8]],
     is_open: bool,
-    /// `Some("")` for a call that is taken and nobody's.
+    /// Name of the customer; `Some("")` for a call that is admitted without one, `None` for a rejected call.
     holder: Option<&'static str>,
 }
 
 #[test]
-fn a_call_is_its_keys_holders() {
+fn a_key_identifies_its_customer() {
     let table = CustomerTable::new(vec![rule("temple", &["k1", "k2"]), rule("guide", &["k3"])]);
-    let table = table.expect("customers that can be told apart");
+    let table = table.expect("a valid list of customers");
     let long = [b'k'; KEY_LIMIT + 1];
     let long: &'static [u8] = Box::leak(Box::new(long));
     let too_long: &'static [&'static [u8]] = Box::leak(Box::new([long]));
@@ -39,9 +39,9 @@
         case("no key", &[], false, None),
         case("an empty key", &[b""], false, None),
         case("a key that nobody holds", &[b"k4"], false, None),
-        case("a key in other letters", &[b"K1"], false, None),
-        case("a key and more", &[b"k1 "], false, None),
-        case("bytes that are no text", &[b"\xff\xfe"], false, None),
+        case("a key in upper case", &[b"K1"], false, None),
+        case("a key with a trailing space", &[b"k1 "], false, None),
+        case("bytes that are not UTF-8", &[b"\xff\xfe"], false, None),
         case("the same key twice", &[b"k1", b"k1"], false, None),
         case("keys of two customers", &[b"k1", b"k3"], false, None),
         case("a key that is too long", too_long, false, None),
@@ -60,28 +60,32 @@
         assert_eq!(holder, case.holder, "{}", case.name);
     }
     let key = PresentedKey::new([&b"k1"[..]].into_iter());
-    let nobody = CustomerTable::default().identify(&key, false);
-    assert_eq!(nobody, Some(CallerIdentity::Anyone), "without customers all callers are alike");
+    let anonymous = CustomerTable::default().identify(&key, false);
+    assert_eq!(
+        anonymous,
+        Some(CallerIdentity::Anyone),
+        "without customers all callers are anonymous"
+    );
 }
 
-struct BookCase {
+struct TableCase {
     name: &'static str,
     rules: Vec<Arc<CustomerRule>>,
     fault: Option<CustomerFault>,
 }
 
 #[test]
-fn customers_that_cannot_be_told_apart_are_refused() {
+fn ambiguous_customers_are_refused() {
     let cases = [
-        BookCase { name: "one key twice", rules: vec![rule("a", &["k", "k"])], fault: None },
-        BookCase { name: "no key", rules: vec![rule("a", &[]), rule("b", &["k"])], fault: None },
-        BookCase {
-            name: "a key of two",
+        TableCase { name: "one key twice", rules: vec![rule("a", &["k", "k"])], fault: None },
+        TableCase { name: "no key", rules: vec![rule("a", &[]), rule("b", &["k"])], fault: None },
+        TableCase {
+            name: "one key of two customers",
             rules: vec![rule("a", &["k", "j"]), rule("b", &["j"])],
             fault: Some(CustomerFault::SharedKey("a".into(), "b".into())),
         },
-        BookCase {
-            name: "a name twice",
+        TableCase {
+            name: "one name of two customers",
             rules: vec![rule("a", &["k"]), rule("a", &["j"])],
             fault: Some(CustomerFault::SameName("a".into())),
         },
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn a_key_is_checked_and_never_shown() {
+fn a_key_is_checked_and_never_written() {
     assert_eq!(KeyDigest::new(b"").err(), Some(KeyFault::Empty));
     assert_eq!(KeyDigest::new(&[b'x'; KEY_LIMIT + 1]).err(), Some(KeyFault::TooLong));
     assert!(KeyDigest::new(&[b'x'; KEY_LIMIT]).is_ok());
--- a/crates/core/tests/core/direct/customers/limits.rs
+++ b/crates/core/tests/core/direct/customers/limits.rs
@@ -1,8 +1,8 @@
-//! A customer's limit, kept by all routers together under faults.
+//! A customer's limit, enforced by all routers together under faults.
 
 use super::fleet::{
-    LimitFleet, TERMS, awake, check_plays, customer_rule, limit, load, most, refused_share,
-    worst_window,
+    LimitFleet, TERMS, check_seeds, customer_rule, limit, max_units, refused_share, send_calls,
+    unfrozen_router, worst_window,
 };
 use plantain_core::direct::{
     call::TokenCounts,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_call_that_exceeds_its_limit_by_itself_is_told_so() {
+fn a_call_that_exceeds_its_limit_by_itself_is_refused() {
     let limit = limit(1_000.0, 500.0);
     let mut fleet = LimitFleet::new(3, 2, limit, 1);
     fleet.call(0, 8_501);
@@ -54,9 +54,8 @@
     refused: f64,
 }
 
-/// A customer stays below its limit, and some of its calls are refused: they come in at one router more than
-/// at another, or move from one to the next each second, so that an even share is spent in one place while it
-/// lies idle in another.
+/// Guards against refusals below the limit. Calls arrive unevenly at the routers, or at other ones each second, so
+/// that with even shares one router's share would be exhausted while another's is unused.
 #[test]
 fn a_customer_below_its_limit_is_served_wherever_its_calls_come_in() {
     let cases = [
@@ -83,57 +82,57 @@
     for case in cases {
         let limit = limit(50_000.0, 50_000.0);
         let mut fleet = LimitFleet::new(21, 6, limit, 3);
-        load(&mut fleet, 50_000.0 * case.share, (200, 1_500), 20, case.pick);
+        send_calls(&mut fleet, 50_000.0 * case.share, (200, 1_500), 20, case.pick);
         let refused = refused_share(&fleet.records, Duration::ZERO);
         assert!(refused < case.refused, "{}: {refused:.4} refused", case.name);
         let worst = worst_window(&fleet.records, TERMS.window);
-        assert!(worst <= most(&limit, &TERMS), "{}: {worst}", case.name);
+        assert!(worst <= max_units(&limit, &TERMS), "{}: {worst}", case.name);
     }
 }
 
-/// A customer sends ten times its limit. What runs in any window is within the limit and the tolerance, and
-/// close to the limit; large calls have the same chance as small ones.
+/// A customer sends ten times its limit. Guards against more runs in a window than limit and tolerance, against unused
+/// units, and against large calls that are starved by small ones or the reverse.
 #[test]
 fn a_customer_far_beyond_its_limit_gets_its_limit() {
     let limit = limit(50_000.0, 50_000.0);
     let mut fleet = LimitFleet::new(21, 6, limit, 4);
-    load(&mut fleet, 500_000.0, (200, 8_000), 20, |rng, _| rng.random_range(0..21));
+    send_calls(&mut fleet, 500_000.0, (200, 8_000), 20, |rng, _| rng.random_range(0..21));
     let worst = worst_window(&fleet.records, TERMS.window);
-    assert!(worst <= most(&limit, &TERMS), "{worst} in a window");
-    let run: f64 =
+    assert!(worst <= max_units(&limit, &TERMS), "{worst} in a window");
+    let ran: f64 =
         fleet.records.iter().filter(|call| call.is_run).map(|call| f64::from(call.cost)).sum();
-    assert!(run >= 0.9 * 50_000.0 * 20.0, "{run} in all");
+    assert!(ran >= 0.9 * 50_000.0 * 20.0, "{ran} in all");
     let served = |is_large: bool| {
         let calls = fleet.records.iter().filter(|call| (call.cost > 4_000) == is_large);
-        let (run, all) =
+        let (ran, all) =
             calls.fold((0, 0), |sum, call| (sum.0 + u32::from(call.is_run), sum.1 + 1));
-        f64::from(run) / f64::from(all)
+        f64::from(ran) / f64::from(all)
     };
     let (large, small) = (served(true), served(false));
     assert!(large > small / 2.0 && small > large / 2.0, "large {large:.3}, small {small:.3}");
 }
 
-/// Two of six meters fall silent, one for good. Their customers' calls are refused until the routers have gone
-/// over to the next meter; that must take a moment only.
+/// Two of six meters stop answering, one of them permanently. Guards against refusals for longer than the routers need
+/// to switch to the next meter.
 #[test]
 fn a_silent_meter_is_replaced_at_once() {
     let limit = limit(50_000.0, 50_000.0);
     for frozen in 0..6 {
         let mut fleet = LimitFleet::new(21, 6, limit, 5);
         let pick = |rng: &mut StdRng, _| rng.random_range(0..21);
-        load(&mut fleet, 27_000.0, (200, 1_500), 4, pick);
+        send_calls(&mut fleet, 27_000.0, (200, 1_500), 4, pick);
         let silent_until = fleet.now_ms + 5_000;
         fleet.frozen_meters.insert(frozen, silent_until);
         fleet.frozen_meters.insert((frozen + 1) % 6, u64::MAX);
         let from = fleet.now();
-        load(&mut fleet, 27_000.0, (200, 1_500), 10, pick);
+        send_calls(&mut fleet, 27_000.0, (200, 1_500), 10, pick);
         let refused = refused_share(&fleet.records, from);
         assert!(refused < 0.01, "meters {frozen} and the next silent: {refused:.4} refused");
     }
 }
 
-/// No meter is left. A call larger than what routers hold of a meter's grants is served all the same, out of the
-/// even share of each router; otherwise a customer of large calls would be refused for as long.
+/// There is no meter. Guards against refusing every call that costs more than a router's slice: it must be admitted out
+/// of the router's even share, or a customer with large calls would get nothing until a meter is back.
 #[test]
 fn a_router_without_a_meter_serves_an_even_share() {
     let limit = limit(50_000.0, 50_000.0);
@@ -141,115 +140,116 @@
     let shares = LimitShares::new(&customer_rule(limit), FleetSize::new(5, 5));
     let cost = (shares.slice * 2.0) as u32;
     assert!(f64::from(cost) < shares.even_capacity);
-    load(&mut fleet, 25_000.0, (cost, cost + 1), 10, |rng, _| rng.random_range(0..5));
-    // Each router refuses what comes together there beyond its part of the burst.
+    send_calls(&mut fleet, 25_000.0, (cost, cost + 1), 10, |rng, _| rng.random_range(0..5));
+    // Each router refuses calls beyond its part of the burst when they arrive together.
     let refused = refused_share(&fleet.records, fleet.now().saturating_sub(Duration::from_secs(8)));
     assert!(refused < 0.34, "{refused:.3} refused at half the limit");
-    load(&mut fleet, 500_000.0, (cost, cost + 1), 10, |rng, _| rng.random_range(0..5));
+    send_calls(&mut fleet, 500_000.0, (cost, cost + 1), 10, |rng, _| rng.random_range(0..5));
     let worst = worst_window(&fleet.records, TERMS.window);
-    assert!(worst <= most(&limit, &TERMS), "{worst} in a window");
+    assert!(worst <= max_units(&limit, &TERMS), "{worst} in a window");
 }
 
-/// A limit is lowered while its customer uses all of the old one. Within a window of the news nothing more
-/// runs than the new limit allows.
+/// A limit is lowered while its customer uses all of the old one. Guards against runs beyond the new limit later than
+/// one window after the change, and against refusals under a limit that was raised again.
 #[test]
-fn a_lowered_limit_binds_after_a_window() {
+fn a_lowered_limit_holds_after_one_window() {
     let mut fleet = LimitFleet::new(21, 6, limit(80_000.0, 80_000.0), 6);
     let pick = |rng: &mut StdRng, _| rng.random_range(0..21);
-    load(&mut fleet, 200_000.0, (200, 1_500), 10, pick);
+    send_calls(&mut fleet, 200_000.0, (200, 1_500), 10, pick);
     fleet.set_limit(limit(20_000.0, 20_000.0));
-    load(&mut fleet, 200_000.0, (200, 1_500), 8, pick);
+    send_calls(&mut fleet, 200_000.0, (200, 1_500), 8, pick);
     let from = fleet.now();
-    load(&mut fleet, 200_000.0, (200, 1_500), 10, pick);
+    send_calls(&mut fleet, 200_000.0, (200, 1_500), 10, pick);
     let late: Vec<_> = fleet.records.iter().copied().filter(|call| call.at >= from).collect();
     let worst = worst_window(&late, TERMS.window);
-    assert!(worst <= most(&fleet.limit, &TERMS), "{worst} in a window");
+    assert!(worst <= max_units(&fleet.limit, &TERMS), "{worst} in a window");
     fleet.set_limit(limit(200_000.0, 200_000.0));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let from = fleet.now();
-    load(&mut fleet, 150_000.0, (200, 1_500), 5, pick);
+    send_calls(&mut fleet, 150_000.0, (200, 1_500), 5, pick);
     let refused = refused_share(&fleet.records, from);
     assert!(refused < 0.01, "{refused:.4} refused under the raised limit");
 }
 
-/// A limit is raised, and calls go on at one router only. The others have none that would tell them of the new
-/// limit, and still fill up what they hold: if they asked for it under the old limit, their meter would go back
-/// to that, and calls below the new limit be refused.
+/// A limit is raised, and then calls arrive at one router only. The other routers still refill their slices. If they
+/// requested units under the old limit, their meter would return to it and refuse calls below the new one.
 #[test]
-fn routers_without_calls_ask_under_the_newest_limit() {
+fn routers_without_calls_request_under_the_newest_limit() {
     let mut fleet = LimitFleet::new(21, 6, limit(20_000.0, 20_000.0), 7);
-    load(&mut fleet, 200_000.0, (200, 1_500), 3, |rng, _| rng.random_range(0..21));
+    send_calls(&mut fleet, 200_000.0, (200, 1_500), 3, |rng, _| rng.random_range(0..21));
     fleet.set_limit(limit(80_000.0, 80_000.0));
-    fleet.pass(200);
+    fleet.advance(200);
     let from = fleet.now();
-    load(&mut fleet, 60_000.0, (200, 1_500), 3, |_, _| 0);
+    send_calls(&mut fleet, 60_000.0, (200, 1_500), 3, |_, _| 0);
     let refused = refused_share(&fleet.records, from);
     assert!(refused < 0.05, "{refused:.3} refused under the raised limit");
 }
 
-/// Guards against routers that no loader tells of others, and that each take all of a limit for their share.
+/// Guards against routers that learn of no others from loaders, and each use the whole limit as their share.
 #[test]
-fn routers_that_never_met_keep_a_limit() {
+fn routers_that_do_not_know_each_other_keep_a_limit() {
     let limit = UsageLimit { unit: UsageUnit::Calls, rate: 4.0, burst: 4.0 };
     let terms = LimitTerms { window: Duration::from_secs(8), overage: 0.1, slack: 27.0 };
     let rule = LimitRule { limit, terms, is_used_before: false };
     let mut fleet = LimitFleet::with_rule(3, 0, &rule, 9);
-    fleet.are_strangers = true;
+    fleet.is_store_only = true;
     for _ in 0..4 {
-        load(&mut fleet, 40.0, (1, 1), 4, |rng, _| rng.random_range(0..3));
+        send_calls(&mut fleet, 40.0, (1, 1), 4, |rng, _| rng.random_range(0..3));
         (0..3).for_each(|router| fleet.restart_router(router));
     }
     let worst = worst_window(&fleet.records, terms.window);
-    assert!(worst <= most(&limit, &terms), "{worst} of {}", most(&limit, &terms));
-    load(&mut fleet, 40.0, (1, 1), 20, |rng, _| rng.random_range(0..3));
-    let run = fleet.records.iter().filter(|call| call.is_run).count();
-    assert!(run as f64 >= 0.5 * limit.rate * 20.0, "{run} ran");
+    assert!(worst <= max_units(&limit, &terms), "{worst} of {}", max_units(&limit, &terms));
+    send_calls(&mut fleet, 40.0, (1, 1), 20, |rng, _| rng.random_range(0..3));
+    let ran = fleet.records.iter().filter(|call| call.is_run).count();
+    assert!(ran as f64 >= 0.5 * limit.rate * 20.0, "{ran} ran");
 }
 
-/// One play of faults drawn at random, which come together and overlap.
-fn play(seed: u64) -> Result<(), String> {
+/// Simulates one random sequence of overlapping faults.
+fn simulate(seed: u64) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let (routers, meters) = (rng.random_range(1..12), rng.random_range(0..6));
     let rate = 10_f64.powf(rng.random_range(3.0..5.0));
     let limit = limit(rate, rate * rng.random_range(0.2..2.0));
     let mut fleet = LimitFleet::new(routers, meters, limit, seed);
     fleet.loss = if rng.random_bool(0.5) { 0.0 } else { rng.random_range(0.0..0.3) };
-    let mut log = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..rng.random_range(4..12) {
-        log.extend(fleet.disturb(&mut rng));
+        faults.extend(fleet.inject_fault(&mut rng));
         let share = rng.random_range(0.2..6.0);
-        let few = rng.random_range(0..routers);
+        let fixed_router = rng.random_range(0..routers);
         let largest = (rate * rng.random_range(0.01..0.3)).max(2.0) as u32;
         let frozen = fleet.frozen_routers.clone();
         let seconds = rng.random_range(1..4);
-        load(&mut fleet, rate * share, (1, largest), seconds, |rng, now| {
-            let router = if few % 2 == 0 { few } else { rng.random_range(0..routers) };
-            awake(&frozen, router, routers, now)
+        send_calls(&mut fleet, rate * share, (1, largest), seconds, |rng, now| {
+            let router =
+                if fixed_router % 2 == 0 { fixed_router } else { rng.random_range(0..routers) };
+            unfrozen_router(&frozen, router, routers, now)
         });
     }
-    let (worst, most) = (worst_window(&fleet.records, TERMS.window), most(&limit, &TERMS));
-    if worst <= most {
+    let (worst, max_units) =
+        (worst_window(&fleet.records, TERMS.window), max_units(&limit, &TERMS));
+    if worst <= max_units {
         return Ok(());
     }
     Err(format!(
-        "seed {seed}: {worst:.0} ran of {most:.0}, {routers} routers, {meters} meters: {log:?}"
+        "seed {seed}: {worst:.0} ran of {max_units:.0}, {routers} routers, {meters} meters: {faults:?}"
     ))
 }
 
-/// Whatever fails in whatever order, no window holds more than the limit and its tolerance: routers and meters
-/// start again, stand still, and part, while a customer sends a part or a multiple of its limit, spread in any
-/// way. The plays are the same each time; `LIMIT_PLAYS=5000` plays as many others.
+/// Guards against a window with more than the limit and its tolerance under any order of faults: routers and meters
+/// restart, freeze and are partitioned, while a customer sends a part or a multiple of its limit to any routers.
+/// The seeds are fixed; `LIMIT_PLAYS=5000` runs 5,000 random ones instead.
 #[test]
 fn no_window_ever_holds_more_than_the_limit_and_its_tolerance() {
     fn property(seed: u64) -> bool {
-        play(seed).map_err(|fault| eprintln!("{fault}")).is_ok()
+        simulate(seed).map_err(|fault| eprintln!("{fault}")).is_ok()
     }
-    check_plays(property);
+    check_seeds(property);
 }
 
-/// A router stands still while its customer's first calls come in. They take all that the limit allows at once,
-/// and once more a second later, when another meter has become the customer's.
+/// Guards against a second burst from another meter. The router is frozen while the first calls arrive; they use the
+/// burst, and a second later another meter serves the customer.
 #[test]
 fn a_second_meter_grants_no_second_burst() {
-    assert_eq!(play(16_093_464_175_815_205_135), Ok(()));
+    assert_eq!(simulate(16_093_464_175_815_205_135), Ok(()));
 }
--- a/crates/core/tests/core/direct/customers/ways.rs
+++ b/crates/core/tests/core/direct/customers/ways.rs
@@ -1,4 +1,4 @@
-//! Three ways to keep one limit at many routers, under the same loads.
+//! Comparison of three ways to enforce one limit at many routers, under the same loads.
 //!
 //! `cargo test --release -p plantain-core --test core ways -- --nocapture` prints the table of
 //! docs/design/customers.md.
@@ -6,7 +6,7 @@
 use super::{
     super::support::ms,
     fleet::{
-        LimitFleet, RunRecord, TERMS, customer_rule, limit, most, refused_share, worst_window,
+        LimitFleet, RunRecord, TERMS, customer_rule, limit, max_units, refused_share, worst_window,
     },
 };
 use plantain_core::direct::limits::{
@@ -16,22 +16,22 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::collections::VecDeque;
 
-/// Units a second of the limit, and at once.
+/// Rate of the limit in units a second, and its burst in units.
 const RATE: f64 = 50_000.0;
-/// Seconds of each load.
+/// Duration of each load in seconds.
 const SECONDS: u64 = 20;
-/// Least and most that a call costs.
+/// Lowest and highest cost of a call.
 const COSTS: (u32, u32) = (200, 1_500);
 
-/// A way to keep a limit at many routers.
+/// A way to enforce a limit at many routers.
 trait LimitWay {
-    /// Lets a ms pass.
-    fn pass(&mut self);
-    /// A call comes in at a router.
+    /// Advances the time by 1 ms.
+    fn advance(&mut self);
+    /// A call arrives at a router.
     fn call(&mut self, router: usize, cost: u32);
-    /// What all calls came to.
+    /// Outcomes of all calls.
     fn records(&self) -> &[RunRecord];
-    /// Datagrams between routers and meters, their bytes, and calls of the store.
+    /// Datagrams between routers and meters, their bytes, and calls to the store.
     fn traffic(&self) -> (u64, u64, u64);
 }
 
@@ -39,8 +39,8 @@
 struct MeterWay(LimitFleet);
 
 impl LimitWay for MeterWay {
-    fn pass(&mut self) {
-        self.0.pass(1);
+    fn advance(&mut self) {
+        self.0.advance(1);
     }
 
     fn call(&mut self, router: usize, cost: u32) {
@@ -56,7 +56,7 @@
     }
 }
 
-/// An even share for each router, the tolerance divided too.
+/// An even share of the limit and its tolerance for each router.
 struct EvenWay {
     now_ms: u64,
     limit: UsageLimit,
@@ -72,14 +72,15 @@
 }
 
 impl LimitWay for EvenWay {
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now_ms += 1;
     }
 
     fn call(&mut self, router: usize, cost: u32) {
         let routers = self.buckets.len() as f64;
-        let capacity =
-            (most(&self.limit, &TERMS) - self.limit.rate * TERMS.window.as_secs_f64()) / routers;
+        let capacity = (max_units(&self.limit, &TERMS)
+            - self.limit.rate * TERMS.window.as_secs_f64())
+            / routers;
         let bucket = &mut self.buckets[router];
         let left = bucket.refill(self.limit.rate / routers, capacity, ms(self.now_ms));
         let is_run = left >= f64::from(cost);
@@ -98,7 +99,7 @@
     }
 }
 
-/// Time of a call of the store with its trips, in ms.
+/// Time of a call to the store with its round trip, in ms.
 const STORE_MS: u64 = 8;
 /// Longest time for which a call waits for a lease, in ms.
 const LEASE_WAIT_MS: u64 = 150;
@@ -107,11 +108,11 @@
 struct LeaseRouter {
     balance: f64,
     waiting: VecDeque<(u64, u32)>,
-    /// When the write under way is done, and the version that it replaces.
+    /// End of the pending write, and the version that it replaces.
     write: Option<(u64, u64)>,
 }
 
-/// Slices leased by conditional writes of one object of the store.
+/// Slices leased by conditional writes to one object of the store.
 struct LeaseWay {
     now_ms: u64,
     limit: UsageLimit,
@@ -146,7 +147,7 @@
         self.version += 1;
         let waiting: f64 = router.waiting.iter().map(|(_, cost)| f64::from(*cost)).sum();
         let left = self.bucket.refill(shares.rate, shares.capacity, ms(self.now_ms));
-        // A lease holds what a router uses in a second, so that leases are few.
+        // A lease covers what a router uses in a second, so that there are few writes.
         let wanted = waiting - router.balance + shares.rate / 21.0;
         let units = wanted.min(left).max(0.0);
         self.bucket.take(units);
@@ -155,7 +156,7 @@
 }
 
 impl LimitWay for LeaseWay {
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now_ms += 1;
         for index in 0..self.routers.len() {
             self.write(index);
@@ -196,7 +197,7 @@
 
 struct LoadCase {
     name: &'static str,
-    /// Units asked for, as a part of the limit.
+    /// Requested units, as a part of the limit.
     share: f64,
     pick: PickRouter,
 }
@@ -228,7 +229,7 @@
     },
 ];
 
-/// What one way does under one load.
+/// Results of one way under one load.
 struct WayFigures {
     refused: f64,
     worst: f64,
@@ -249,14 +250,14 @@
             }
             expected -= 1.0;
         }
-        way.pass();
+        way.advance();
     }
     let limit = limit(RATE, RATE);
     let (datagrams, bytes, store_calls) = way.traffic();
     let per_second = |count: u64| count as f64 / SECONDS as f64;
     WayFigures {
         refused: refused_share(way.records(), ms(0)),
-        worst: worst_window(way.records(), TERMS.window) / most(&limit, &TERMS),
+        worst: worst_window(way.records(), TERMS.window) / max_units(&limit, &TERMS),
         datagrams: per_second(datagrams),
         bytes: per_second(bytes),
         store_calls: per_second(store_calls),
@@ -275,9 +276,9 @@
     );
 }
 
-/// A customer's calls come in at many routers, unevenly and elsewhere each second. Below its limit it is refused
-/// next to nothing; far beyond it, it gets no more than the limit and the tolerance. An even share for each router
-/// keeps the second and not the first; leases of the store pay for both with a call a time.
+/// A customer's calls arrive at many routers, unevenly, and at other ones each second. Guards against meters that refuse
+/// calls below the limit, and against runs beyond limit and tolerance. Even shares only prevent the second; leases
+/// prevent both, at the price of calls to the store.
 #[test]
 fn slices_of_meters_serve_a_limit_best() {
     println!(
--- a/crates/core/tests/core/direct/demand.rs
+++ b/crates/core/tests/core/direct/demand.rs
@@ -1,4 +1,4 @@
-//! How much adapters are wanted over the fleet.
+//! Estimates of the demand for adapters over the fleet.
 
 use super::support::{adapter, ms, report};
 use plantain_core::direct::{
@@ -10,17 +10,16 @@
 struct DemandCase {
     name: &'static str,
     routers: usize,
-    /// Times of this router's calls, in milliseconds, the last one being the call in question.
+    /// Times of this router's calls in ms; the last one is the call for which the rate is read.
     calls: Vec<u64>,
-    /// Rates that loaders report.
+    /// Rates in calls a second that loaders report.
     reported: Vec<f64>,
     rate: Range<f64>,
 }
 
-/// Thirty routers get the calls for thousands of rare adapters, each router a few a minute. A call that
-/// has just come, taken for a thirtieth of the demand, gave every rare adapter three copies: twice the
-/// loads, and places of engines taken from adapters that are wanted. One that many callers want all of a
-/// sudden must get copies before any loader has told of it.
+/// Thirty routers get the calls for thousands of rare adapters, a few calls a minute each. When one recent call counted
+/// as a thirtieth of the demand, every rare adapter got three copies: twice the loads, and fewer slots for adapters in
+/// demand. An adapter whose demand rises suddenly must still get copies before any loader has reported it.
 #[test]
 fn rare_adapters_get_one_copy_and_sudden_ones_several() {
     let cases = [
@@ -39,35 +38,35 @@
             rate: 0.0..3.0,
         },
         DemandCase {
-            name: "three calls that came together by chance",
+            name: "three calls that coincide by chance",
             routers: 30,
             calls: vec![1_000, 1_150, 1_300],
             reported: vec![],
             rate: 0.0..0.1,
         },
         DemandCase {
-            name: "the same, of an adapter that loaders know",
+            name: "the same, for an adapter with a reported rate",
             routers: 30,
             calls: vec![1_000, 1_150, 1_300],
             reported: vec![6.0],
             rate: 5.9..6.1,
         },
         DemandCase {
-            name: "wanted suddenly: six calls at this router within half a second",
+            name: "sudden demand: six calls at this router within half a second",
             routers: 30,
             calls: (0..6).map(|call| 1_000 + call * 100).collect(),
             reported: vec![],
             rate: 70.0..130.0,
         },
         DemandCase {
-            name: "steady, as loaders say",
+            name: "steady, as loaders report",
             routers: 30,
             calls: vec![1_000],
             reported: vec![6.0, 5.5],
             rate: 11.4..11.6,
         },
         DemandCase {
-            name: "a small fleet sees most by itself",
+            name: "each router of a small fleet sees most calls",
             routers: 2,
             calls: (0..100).map(|call| call * 100).collect(),
             reported: vec![],
@@ -98,28 +97,28 @@
     }
 }
 
-/// A loader falls silent, or its engine is gone. What it reported must not count for ever, and a later
-/// report stands in place of an earlier one.
+/// Guards against rates that still count after their loader stopped reporting, and against a new report that adds to
+/// the earlier one instead of replacing it.
 #[test]
-fn rates_are_forgotten_with_their_reports() {
+fn rates_expire_with_their_reports() {
     let mut demand = FleetDemand::default();
-    let told =
+    let report_with_rate =
         |rate| LoaderReport { rates: vec![encode_rate(rate)], ..report("e1", 1, &[("h7", 1)]) };
     demand.record(&adapter("h7"), ms(0));
     for rate in [50.0, 20.0, 7.5] {
-        demand.take_report(&told(rate), ms(0));
+        demand.take_report(&report_with_rate(rate), ms(0));
         let read = demand.rate(&adapter("h7"), 2, ms(0));
-        assert!((read - rate).abs() < 0.01, "told {rate}, read {read}");
+        assert!((read - rate).abs() < 0.01, "reported {rate}, read {read}");
     }
     assert_eq!(demand.wanted(5.0, 2, ms(0)), vec![adapter("h7")]);
     demand.expire(ms(5_000));
     assert!(demand.wanted(5.0, 2, ms(0)).is_empty());
 }
 
-/// Thirty routers hear of a wanted adapter, one of them has calls for it. If all saw to its copies, what
-/// they tell loaders would grow with routers times adapters.
+/// Thirty routers learn of an adapter in demand, and one of them has calls for it. If all maintained its copies, their
+/// load requests would grow with the number of routers times that of adapters.
 #[test]
-fn only_routers_with_calls_for_an_adapter_see_to_its_copies() {
+fn only_routers_with_calls_for_an_adapter_maintain_its_copies() {
     let mut demand = FleetDemand::default();
     let hot = LoaderReport { rates: vec![encode_rate(50.0)], ..report("e1", 1, &[("h7", 1)]) };
     demand.take_report(&hot, ms(0));
--- a/crates/core/tests/core/direct/health.rs
+++ b/crates/core/tests/core/direct/health.rs
@@ -1,4 +1,4 @@
-//! How targets that fail are left alone, and come back.
+//! Failure shares and backoff of targets, and their recovery.
 
 use super::support::ms;
 use plantain_core::direct::health::{CallOutcome, TargetHealth};
@@ -51,21 +51,21 @@
             failure_share: 0.1..0.3,
         },
         HistoryCase {
-            name: "rest is over",
+            name: "after the backoff",
             outcomes: &[(0, Answered), (100, Silent)],
             at: 601,
             is_backing_off: false,
             failure_share: 0.1..0.3,
         },
         HistoryCase {
-            name: "silent again after its rest",
+            name: "silent again after the first backoff",
             outcomes: &[(0, Silent), (600, Silent)],
             at: 1_500,
             is_backing_off: true,
             failure_share: 0.1..0.5,
         },
         HistoryCase {
-            name: "an answer starts the rests anew",
+            name: "an answer resets the backoff",
             outcomes: &[(0, Silent), (600, Silent), (1_800, Answered), (1_900, Silent)],
             at: 2_500,
             is_backing_off: false,
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -1,7 +1,9 @@
-//! Limits that targets state in their answers.
+//! Rate limits that targets advertise in their answers.
 
 use super::{
-    customers::fleet::{LimitFleet, awake, check_plays, load, refused_share, worst_window},
+    customers::fleet::{
+        LimitFleet, check_seeds, refused_share, send_calls, unfrozen_router, worst_window,
+    },
     support::ms,
 };
 use plantain_core::direct::{
@@ -15,15 +17,15 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::time::Duration;
 
-/// Time of a load, in seconds.
+/// Duration of a load, in seconds.
 const SECONDS: u64 = 30;
-/// Span over which a limit is judged.
+/// Window over which a limit must hold.
 const WINDOW: Duration = Duration::from_secs(4);
 
 struct AnswerStep {
-    stated: AdvertisedLimit,
+    advertised: AdvertisedLimit,
     sent: Duration,
-    came: Duration,
+    received: Duration,
     rate: Option<f64>,
 }
 
@@ -32,11 +34,11 @@
     steps: Vec<AnswerStep>,
 }
 
-fn step(stated: AdvertisedLimit, sent: u64, came: u64, rate: Option<f64>) -> AnswerStep {
-    AnswerStep { stated, sent: ms(sent), came: ms(came), rate }
+fn step(advertised: AdvertisedLimit, sent: u64, received: u64, rate: Option<f64>) -> AnswerStep {
+    AnswerStep { advertised, sent: ms(sent), received: ms(received), rate }
 }
 
-/// Guards against a limit that ends by an answer which was under way before the limit was stated.
+/// Guards against a limit that is dropped because of an answer that was in transit when the limit was advertised.
 #[test]
 fn answers_that_overtake_each_other_end_no_limit() {
     const LIMITED: AdvertisedLimit = AdvertisedLimit::Limited(3.9);
@@ -48,7 +50,7 @@
             steps: vec![step(LIMITED, 100, 150, Some(3.9)), step(FREE, 90, 900, Some(3.9))],
         },
         OrderCase {
-            name: "an answer to a call that was sent before the word came",
+            name: "an answer to a call that was sent before the limit arrived",
             steps: vec![step(LIMITED, 100, 150, Some(3.9)), step(FREE, 140, 200, Some(3.9))],
         },
         OrderCase {
@@ -67,7 +69,7 @@
             ],
         },
         OrderCase {
-            name: "withdrawn and stated again",
+            name: "withdrawn and advertised again",
             steps: vec![
                 step(LIMITED, 100, 150, Some(3.9)),
                 step(FREE, 160, 200, None),
@@ -79,7 +81,7 @@
         let mut known = KnownLimit::default();
         for (index, step) in case.steps.iter().enumerate() {
             let before = known.rate;
-            let is_changed = known.record(step.stated, step.sent, step.came);
+            let is_changed = known.record(step.advertised, step.sent, step.received);
             assert_eq!(known.rate, step.rate, "{}, step {index}", case.name);
             assert_eq!(is_changed, before != step.rate, "{}, step {index}", case.name);
         }
@@ -96,14 +98,14 @@
     routers: usize,
     meters: usize,
     rate: f64,
-    /// Calls a second that would like to go to the target.
+    /// Calls a second that are offered to the target.
     calls: f64,
     /// Part of the limit that must be used.
     used: f64,
 }
 
-/// Guards against a limit that each of hundreds of routers keeps for itself, or rounds up: together they send many
-/// times what the target takes, or next to nothing.
+/// Guards against hundreds of routers that each enforce the limit alone or round their shares: together they would send
+/// many times what the target accepts, or almost nothing.
 #[test]
 fn hundreds_of_routers_use_one_limit() {
     let case = |name, routers, meters, rate, calls, used| FleetCase {
@@ -127,17 +129,19 @@
     for case in cases {
         let rule = target_rule(case.rate);
         let mut fleet = LimitFleet::with_rule(case.routers, case.meters, &rule, 1);
-        load(&mut fleet, case.calls, (1, 1), SECONDS, |rng, _| rng.random_range(0..case.routers));
+        send_calls(&mut fleet, case.calls, (1, 1), SECONDS, |rng, _| {
+            rng.random_range(0..case.routers)
+        });
         let worst = worst_window(&fleet.records, WINDOW);
         assert!(worst <= allowed(case.rate), "{}: {worst} in a window", case.name);
-        let run = fleet.records.iter().filter(|call| call.is_run).count() as f64;
-        let whole = case.rate * SECONDS as f64;
-        assert!(run >= case.used * whole, "{}: {run} of {whole}", case.name);
+        let ran = fleet.records.iter().filter(|call| call.is_run).count() as f64;
+        let full = case.rate * SECONDS as f64;
+        assert!(ran >= case.used * full, "{}: {ran} of {full}", case.name);
         println!(
             "{}: worst window {worst} of {:.1}, {:.2} of the limit used, {:.0} datagrams and {:.0} bytes a second",
             case.name,
             allowed(case.rate),
-            run / whole,
+            ran / full,
             fleet.sent as f64 / SECONDS as f64,
             fleet.bytes as f64 / SECONDS as f64,
         );
@@ -146,24 +150,25 @@
     }
 }
 
-fn play(seed: u64) -> Result<(), String> {
+fn simulate(seed: u64) -> Result<(), String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let routers = if rng.random_bool(0.1) { 120 } else { rng.random_range(1..12) };
     let meters = rng.random_range(0..6);
     let rate = 10_f64.powf(rng.random_range(-1.0..2.0));
     let mut fleet = LimitFleet::with_rule(routers, meters, &target_rule(rate), seed);
-    // Where there are meters, routers know each other by them.
-    fleet.are_strangers = meters == 0;
+    // With meters, routers learn of each other from the loaders that run them.
+    fleet.is_store_only = meters == 0;
     fleet.loss = if rng.random_bool(0.5) { 0.0 } else { rng.random_range(0.0..0.3) };
-    let mut log = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..rng.random_range(4..12) {
-        log.extend(fleet.disturb(&mut rng));
+        faults.extend(fleet.inject_fault(&mut rng));
         let calls = (rate * rng.random_range(0.2..6.0)).max(5.0);
-        let few = rng.random_range(0..routers);
+        let fixed_router = rng.random_range(0..routers);
         let frozen = fleet.frozen_routers.clone();
-        load(&mut fleet, calls, (1, 1), rng.random_range(1..4), |rng, now| {
-            let router = if few % 2 == 0 { few } else { rng.random_range(0..routers) };
-            awake(&frozen, router, routers, now)
+        send_calls(&mut fleet, calls, (1, 1), rng.random_range(1..4), |rng, now| {
+            let router =
+                if fixed_router % 2 == 0 { fixed_router } else { rng.random_range(0..routers) };
+            unfrozen_router(&frozen, router, routers, now)
         });
     }
     let worst = worst_window(&fleet.records, WINDOW);
@@ -171,26 +176,26 @@
         return Ok(());
     }
     Err(format!(
-        "seed {seed}: {worst} of {:.1}, rate {rate:.2}, {routers} routers, {meters} meters: {log:?}",
+        "seed {seed}: {worst} of {:.1}, rate {rate:.2}, {routers} routers, {meters} meters: {faults:?}",
         allowed(rate)
     ))
 }
 
-/// Guards against a target that gets more than its limit while routers and meters start again, stand still, part and
-/// lose messages. `LIMIT_PLAYS=5000` plays as many others.
+/// Guards against a target that gets more than its limit while routers and meters restart, freeze, are partitioned and
+/// lose messages. `LIMIT_PLAYS=5000` runs 5,000 random seeds instead of the fixed ones.
 #[test]
 fn no_window_ever_holds_more_than_a_target_takes() {
     fn property(seed: u64) -> bool {
-        play(seed).map_err(|fault| eprintln!("{fault}")).is_ok()
+        simulate(seed).map_err(|fault| eprintln!("{fault}")).is_ok()
     }
-    check_plays(property);
+    check_seeds(property);
 }
 
 fn update(rate: Option<f64>, age_ms: u32) -> LimitUpdate {
     LimitUpdate { tag: 7, rate, age_ms }
 }
 
-/// Guards against limits that come back to life, or end, by words that were lost, doubled, late or sent in a circle.
+/// Guards against limits that reappear or end because updates were lost, duplicated, late or echoed.
 #[test]
 fn the_newest_update_of_a_limit_wins_wherever_it_comes_from() {
     let mut table = LimitTable::default();
@@ -206,18 +211,18 @@
     assert_eq!(table.is_newest(7, 0.2), Some(true));
     assert_eq!(table.is_newest(7, 3.9), Some(false));
     assert_eq!(table.is_newest(8, 3.9), None);
-    // What is known already does not grow younger on its way.
+    // An echoed update does not refresh the known limit.
     let mut known = KnownLimit::default();
     assert!(known.apply_update(&update(Some(0.2), 1_000), ms(14_000)));
     for step in 1..100 {
         assert!(!known.apply_update(&update(Some(0.2), 0), ms(14_000 + 100 * step)));
     }
     assert!(known.record(AdvertisedLimit::Unlimited, ms(13_500), ms(24_000)));
-    assert!(known.is_reported(ms(24_000)), "the end is told onward");
+    assert!(known.is_reported(ms(24_000)), "the end is sent to others");
     assert!(!known.is_reported(ms(90_000)));
 }
 
-/// Guards against a lower rate at the meter that the routers of an older, higher one raise again.
+/// Guards against a meter whose lowered rate is raised again by routers that still have the older, higher one.
 #[test]
 fn a_meter_goes_by_the_newest_rate() {
     let (mut meter, mut table) = (UsageMeter::new(1), LimitTable::default());
@@ -257,9 +262,9 @@
         grant.grants[0].granted
     };
     assert_eq!(granted(40.0, 100, ms(1_100)), 0, "the bucket is new");
-    assert_eq!(granted(0.5, 100, ms(1_200)), 1, "what came together under the old rate");
+    assert_eq!(granted(0.5, 100, ms(1_200)), 1, "refilled under the old rate");
     for at in 13..53 {
-        let in_all = granted(40.0, 100, ms(at * 100));
-        assert!(in_all <= 5, "an older word raised the rate: {in_all}");
+        let total = granted(40.0, 100, ms(at * 100));
+        assert!(total <= 5, "an older update raised the rate: {total}");
     }
 }
