--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -38,10 +38,8 @@
             updates.iter().map(|update| (update.tag, update)).collect();
         let mut changed = Vec::new();
         for target in self.targets.values_mut() {
-            let Some(update) = by_tag.get(&target.entry.incarnation.stable_hash()) else {
-                continue;
-            };
-            if target.limit.apply_update(update, now) {
+            let Some(found) = by_tag.get(&target.entry.incarnation.stable_hash()) else { continue };
+            if target.limit.apply_update(found, now) {
                 changed.push(target.entry.incarnation.clone());
             }
         }
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -110,24 +110,22 @@
 
     fn step(&mut self) {
         self.now += ms(self.random.random_range(1..400));
-        let target_case = TARGETS[self.random.random_range(0..TARGETS.len())];
-        let incarnation = self.incarnation(target_case.0);
+        let drawn = TARGETS[self.random.random_range(0..TARGETS.len())];
+        let incarnation = self.incarnation(drawn.0);
         match self.random.random_range(0..10) {
             0 => self.replace_list(),
             1 => {
-                let entry = self.entry(target_case);
+                let entry = self.entry(drawn);
                 self.pool.apply_changes(&[ListChange::Put(entry)], self.now);
             }
-            2 => self.pool.apply_changes(&[ListChange::Removed(target_case.0.into())], self.now),
+            2 => self.pool.apply_changes(&[ListChange::Removed(drawn.0.into())], self.now),
             3 => self.pool.note_outage(),
             4 => self.pool.note_contact(self.now),
-            5 if self.random.random_bool(0.3) => {
-                *self.starts.entry(target_case.0).or_default() += 1
-            }
-            6 if target_case.1 == ENGINES => {
-                let mut report = report(target_case.0, self.random.random_range(0..9), &[]);
+            5 if self.random.random_bool(0.3) => *self.starts.entry(drawn.0).or_default() += 1,
+            6 if drawn.1 == ENGINES => {
+                let mut report = report(drawn.0, self.random.random_range(0..9), &[]);
                 report.incarnation = incarnation;
-                let host = [127, 0, 0, target_case.2 as u8].into();
+                let host = [127, 0, 0, drawn.2 as u8].into();
                 self.pool.take_report(host, report, self.now);
             }
             7 if self.random.random_bool(0.3) => {
