--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -16,7 +16,7 @@
 const STATUS_TTL: Duration = Duration::from_millis(50);
 /// Slices that a meter must have left to grant a full one.
 const SCARCE_SLICES: f64 = 10.0;
-/// Time from the first call under a limit to the first grant.
+/// Longest time from the first call under a limit to the first grant.
 const FIRST_GRANT_TIME: Duration = Duration::from_millis(300);
 /// Shortest time stated to a refused call after which it may be sent again.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -241,7 +241,7 @@
         self.limit.rate.is_some()
     }
 
-    /// Whether its limit refused a call lately, so that adapters are better loaded elsewhere.
+    /// Whether its limit refused a call recently, so that adapters should be loaded elsewhere.
     pub fn was_recently_saturated(&self, now: Timestamp) -> bool {
         self.is_limited()
             && !self.saturated_until.is_zero()
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -157,13 +157,13 @@
     /// Applies updates of a router.
     pub fn take(&mut self, updates: &[LimitUpdate], now: Timestamp) {
         for update in updates {
-            if let Some(limit) = self.limits.get_mut(&update.tag) {
-                limit.known.apply_update(update, now);
-                limit.received = now;
+            if let Some(entry) = self.limits.get_mut(&update.tag) {
+                entry.known.apply_update(update, now);
+                entry.received = now;
                 continue;
             }
             if self.limits.len() >= TABLE_LIMIT {
-                self.limits.retain(|_, limit| now.saturating_sub(limit.received) < UPDATE_TTL);
+                self.limits.retain(|_, entry| now.saturating_sub(entry.received) < UPDATE_TTL);
             }
             if self.limits.len() < TABLE_LIMIT {
                 let mut known = update.known(now);
@@ -179,9 +179,9 @@
             theirs.iter().any(|update| update.tag == tag && update.rate == limit.rate)
         };
         let fresh =
-            self.limits.iter().filter(|(_, limit)| now.saturating_sub(limit.received) < UPDATE_TTL);
-        let unknown = fresh.filter(|(tag, limit)| !is_known(**tag, &limit.known));
-        limit_updates(unknown.map(|(tag, limit)| (*tag, &limit.known)), now)
+            self.limits.iter().filter(|(_, entry)| now.saturating_sub(entry.received) < UPDATE_TTL);
+        let unknown = fresh.filter(|(tag, entry)| !is_known(**tag, &entry.known));
+        limit_updates(unknown.map(|(tag, entry)| (*tag, &entry.known)), now)
     }
 
     /// Whether a router that enforces a limit at `rate` has its newest state; `None` if no target's limit has this tag.
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -226,9 +226,9 @@
     };
     let some = Some(ms(3_000));
     let cases = [
-        case("turned away", RunProof::NotRun, 503, some, some),
-        case("turned away without a time", RunProof::NotRun, 503, None, None),
-        case("turned away for no time", RunProof::NotRun, 503, Some(ms(0)), None),
+        case("rejected", RunProof::NotRun, 503, some, some),
+        case("rejected without a time", RunProof::NotRun, 503, None, None),
+        case("rejected with a time of zero", RunProof::NotRun, 503, Some(ms(0)), None),
         case("a limit for one customer", RunProof::NotRun, 429, some, None),
         case("a run that failed", RunProof::Failed, 503, some, None),
         case("another call's answer", RunProof::Unknown, 503, some, None),
