--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -82,8 +82,8 @@
 
     /// Applies another process's update if it is newer; returns whether the limit has changed.
     ///
-    /// An update with the known rate does not refresh `as_of`: each hop makes an update seem slightly younger, so that an
-    /// end that the target has advertised meanwhile would seem older than its own echo.
+    /// An update with the known rate does not refresh `as_of`. Each hop makes an update seem slightly newer; if echoes
+    /// refreshed the limit, an end that the target has advertised meanwhile would seem older than the limit.
     pub fn apply_update(&mut self, update: &LimitUpdate, now: Timestamp) -> bool {
         update.rate != self.rate && self.merge(update.known(now))
     }
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -118,7 +118,7 @@
         self.rebuild();
     }
 
-    /// Drops expired entries of the list and expired demand counts.
+    /// Drops expired entries of the list and expired demand.
     pub fn expire(&mut self, now: Timestamp) {
         if self.list.expire(now) {
             self.rebuild();
