--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -1,12 +1,13 @@
-//! Requests that end the targets which run them, and how all routers come to know them.
+//! Detection of poison requests: requests that crash the targets which run them.
 //!
-//! Pattern: a request whose run ends its target comes again under a new id, at any router, and takes target
-//! after target down with all that they have in flight. A router rarely sees more than one of these
-//! crashes, and cannot tell which of the broken calls was at fault. So each router reports which calls were
-//! at a target when it ended; a call that was at [`QUARANTINE_CRASHES`] of them is not handed to any more.
+//! A caller sends such a request again under a new id, through any router, and it crashes target after
+//! target together with their other calls. A router rarely sees more than one of these crashes, and cannot
+//! know which of the broken calls caused it. So each router reports which calls were at a target when it
+//! ended; a call that was at [`QUARANTINE_CRASHES`] ended targets is not sent to any target again.
 //!
-//! Reports are whole and kept by their sender's start and number: lost, late and doubled ones cost time
-//! alone. A restarted router reads what all have reported from where it is kept.
+//! A report holds all records of its sender and is identified by the sender's boot id and a sequence
+//! number, so lost, late and duplicate reports only cost time. A restarted router reads all reports from
+//! the store.
 
 mod report;
 mod runs;
@@ -27,49 +28,49 @@
     time::Duration,
 };
 
-/// Targets that must have ended under a call before it is quarantined. An innocent call shares one crash by
-/// chance, and two if its caller's one retry meets the same culprit; the third is what no chance explains.
+/// Targets that must have ended under a call before it is quarantined. An innocent call may share one crash
+/// by chance, and a second one if its retry runs beside the same poison request; a third is not chance.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Time for which a crash counts against a call. Callers give up on a request within a minute or so; one that
-/// comes by the hour costs three targets each time, and a call quarantined by mistake is free after this.
+/// Time for which a crash counts against a call. Callers give up on a request within a minute or so. A
+/// poison request that is sent once an hour costs three targets each time; a call that was quarantined by
+/// mistake is served again after this time.
 pub const CRASH_TTL: Duration = Duration::from_mins(10);
 
-/// Time for which a run that came to its end speaks for its call against crashes that show only afterwards:
-/// as long as a crash may take to show, and its report to come.
+/// Time for which a completed run clears its call of crashes that are recorded later: the longest time that
+/// a crash takes to be detected and reported.
 const SURVIVAL_TTL: Duration = Duration::from_secs(10);
-/// Calls whose runs came to their ends lately, that a router remembers: some 100 a second. Bounds memory at
-/// about 50 kB.
+/// Recently completed calls that a router remembers: some 100 a second. Bounds memory at about 50 kB.
 const SURVIVOR_LIMIT: usize = 1_024;
 
-/// What a router knows of crashes, its own and those that others reported.
+/// Crash records of a router: its own and those that others reported.
 #[derive(Debug)]
 pub struct CrashLedger {
     own: CrashReport,
-    /// When each of the own crashes was recorded, in the order of the report.
+    /// Time at which each of the own crashes was recorded, in the order of the report.
     recorded: VecDeque<Timestamp>,
-    told: CrashReports,
-    /// Calls whose runs came to their ends lately, and when the last one did.
+    received: CrashReports,
+    /// Calls of which a run completed recently, with the time of the last one.
     survivors: HashMap<CallFingerprint, Timestamp>,
 }
 
 impl CrashLedger {
-    /// Starts with nothing known, at a start of a router.
+    /// An empty ledger for a router that has just started.
     pub fn new(router: Arc<str>, boot: BootId) -> Self {
         let own = CrashReport { router, boot, ..CrashReport::default() };
         Self {
             own,
             recorded: VecDeque::new(),
-            told: CrashReports::default(),
+            received: CrashReports::default(),
             survivors: HashMap::new(),
         }
     }
 
-    /// What this router reports to the others.
+    /// The report that this router sends to the others.
     pub fn own_report(&self) -> &CrashReport {
         &self.own
     }
 
-    /// A target ended while it had these calls. Returns whether the own report has changed.
+    /// Records that a target ended while it had these calls. Returns whether the own report has changed.
     pub fn record_crash(
         &mut self,
         target: &TargetIncarnation,
@@ -77,7 +78,7 @@
         now: Timestamp,
     ) -> bool {
         let before = self.own.sequence;
-        // Those against which crashes speak already come first, so that the others do not push these out.
+        // Calls that have crashes already come first, so that the others do not evict their records.
         let mut calls = calls.to_vec();
         calls.sort_by_cached_key(|call| Reverse(self.crashes_under(*call)));
         for &call in &calls {
@@ -86,7 +87,7 @@
                 continue;
             }
             if self.own.crashes.len() >= RECORD_LIMIT {
-                self.make_room();
+                self.evict_record();
             }
             self.own.crashes.push(record);
             self.recorded.push_back(now);
@@ -98,17 +99,17 @@
         self.own.sequence != before
     }
 
-    /// Drops the oldest crash of a call that has no other, or else the oldest: the calls of a target that
-    /// ended are mostly innocent, and must not push out one that ends target after target.
-    fn make_room(&mut self) {
+    /// Drops the oldest record of a call with a single crash, or else the oldest record. Most calls of an
+    /// ended target are innocent, and must not evict a call that ends target after target.
+    fn evict_record(&mut self) {
         let mut crashes = self.own.crashes.iter();
         let index = crashes.position(|record| self.crashes_under(record.call) < 2).unwrap_or(0);
         self.own.crashes.remove(index);
         self.recorded.remove(index);
     }
 
-    /// A run of the call has come to its end, so that one crash less speaks against it, and none that
-    /// shows only now. Returns whether any did.
+    /// Records that a run of the call has completed. This clears one of its crashes, and those that are
+    /// recorded within `SURVIVAL_TTL`. Returns whether there was a crash to clear.
     pub fn record_survival(&mut self, call: CallFingerprint, now: Timestamp) -> bool {
         if self.survivors.len() >= SURVIVOR_LIMIT {
             self.survivors.retain(|_, at| now.saturating_sub(*at) < SURVIVAL_TTL);
@@ -119,18 +120,18 @@
         if self.is_empty() {
             return false;
         }
-        let Some(target) = self.counted(call).first().copied() else { return false };
+        let Some(target) = self.counted_crashes(call).first().copied() else { return false };
         self.clear(CrashRecord { call, target });
         true
     }
 
-    /// Has those of these crashes count no more whose calls came to their ends lately. A crash shows, and is
-    /// reported, up to seconds after it; a call that is sent many times a second has survived by then.
+    /// Clears those of these crashes whose calls have completed recently. A crash is detected and reported
+    /// up to seconds after it happened; a call that is sent many times a second has completed by then.
     fn clear_survivors(&mut self, records: &[CrashRecord], now: Timestamp) {
         for record in records {
             let survived = self.survivors.get(&record.call);
             let is_recent = survived.is_some_and(|at| now.saturating_sub(*at) < SURVIVAL_TTL);
-            if is_recent && self.counted(record.call).contains(&record.target) {
+            if is_recent && self.counted_crashes(record.call).contains(&record.target) {
                 self.clear(*record);
             }
         }
@@ -144,24 +145,24 @@
         self.own.sequence += 1;
     }
 
-    /// Takes another router's report; returns whether it is new. The own report changes too if calls are
-    /// among it that came to their ends here lately.
+    /// Applies another router's report; returns whether it is new. The own report changes too if the
+    /// report names calls that have completed here recently.
     pub fn take_report(&mut self, report: &Arc<CrashReport>, now: Timestamp) -> bool {
-        let is_news = report.boot != self.own.boot && self.told.take(report, now);
-        if is_news {
+        let is_new = report.boot != self.own.boot && self.received.take(report, now);
+        if is_new {
             self.clear_survivors(&report.crashes, now);
         }
-        is_news
+        is_new
     }
 
-    /// Has the own report sent anew, so that the others go on counting this router.
+    /// Raises the own report's sequence number, so that it is sent again before it expires at the others.
     pub fn renew(&mut self) {
         self.own.sequence += 1;
     }
 
-    /// Drops what no longer counts; returns whether the own report has changed.
+    /// Drops crashes and reports that are too old; returns whether the own report has changed.
     pub fn expire(&mut self, now: Timestamp) -> bool {
-        self.told.expire(now);
+        self.received.expire(now);
         let is_old = |at: &Timestamp| now.saturating_sub(*at) >= CRASH_TTL;
         let count = self.recorded.iter().take_while(|at| is_old(at)).count();
         if count == 0 {
@@ -176,23 +177,23 @@
         true
     }
 
-    /// Whether nothing is known, so that no call need be looked at.
+    /// Whether there are no records, so that no call needs to be checked.
     pub fn is_empty(&self) -> bool {
-        self.own.size() == 0 && self.told.iter().all(|report| report.size() == 0)
+        self.own.size() == 0 && self.received.iter().all(|report| report.size() == 0)
     }
 
-    /// Targets that have ended under a call and count against it.
+    /// Number of targets that ended under a call and count against it.
     pub fn crashes_under(&self, call: CallFingerprint) -> usize {
-        self.counted(call).len()
+        self.counted_crashes(call).len()
     }
 
-    /// Whether a call is quarantined and must not be handed to any target: enough have ended under it, of
-    /// which no other call is the likelier cause.
+    /// Whether a call is quarantined and must not be sent to any target: enough targets have ended under it
+    /// for which no other call is the likelier cause.
     pub fn is_quarantined(&self, call: CallFingerprint) -> bool {
         if self.is_empty() {
             return false;
         }
-        let targets = self.counted(call);
+        let targets = self.counted_crashes(call);
         if targets.len() < QUARANTINE_CRASHES {
             return false;
         }
@@ -201,15 +202,15 @@
         unexplained.count() >= QUARANTINE_CRASHES
     }
 
-    /// Whether some call was at a target when it ended that has been at more ends than `crashes`. A call
-    /// that ends target after target leaves many innocent ones with a few crashes each, but none of them
-    /// with as many as its own.
+    /// Whether some call at this ended target has more than `crashes` crashes. A poison request that ends
+    /// target after target leaves many innocent calls with a few crashes each, but none with as many as
+    /// its own.
     fn is_explained(&self, target: IncarnationHash, crashes: usize) -> bool {
         let records = self.reports().flat_map(|report| &report.crashes);
         let calls: HashSet<CallFingerprint> =
             records.filter(|record| record.target == target).map(|record| record.call).collect();
         calls.into_iter().any(|call| {
-            let others = self.counted(call);
+            let others = self.counted_crashes(call);
             others.len() > crashes && others.contains(&target)
         })
     }
@@ -225,12 +226,13 @@
         suspects.map(|(call, _)| call).filter(|call| self.is_quarantined(*call)).collect()
     }
 
-    /// This router's report and those of all others.
+    /// This router's report and those of all other senders.
     fn reports(&self) -> impl Iterator<Item = &CrashReport> + Clone {
-        self.told.iter().map(|report| &**report).chain([&self.own])
+        self.received.iter().map(|report| &**report).chain([&self.own])
     }
 
-    fn counted(&self, call: CallFingerprint) -> BTreeSet<IncarnationHash> {
+    /// Targets that ended under the call, without those that a survival cleared.
+    fn counted_crashes(&self, call: CallFingerprint) -> BTreeSet<IncarnationHash> {
         let of_call = |records: &[CrashRecord]| -> Vec<IncarnationHash> {
             let own = records.iter().filter(|record| record.call == call);
             own.map(|record| record.target).collect()
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -1,4 +1,5 @@
-//! What routers and agents report of crashes: whole reports, kept by their sender's start and number.
+//! Crash reports that routers and agents send: each holds all of its sender's records and is identified by
+//! boot id and sequence number.
 
 use super::CRASH_TTL;
 use crate::{
@@ -16,31 +17,31 @@
     time::Duration,
 };
 
-/// Crashes, and survivals, that a report holds: the calls that one router has at some ten targets which
-/// end together. Bounds a report at about 13 kB on the wire.
+/// Crashes, and likewise survivals, that a report holds: enough for the calls that one router has at some
+/// ten targets which end together. Bounds a report at about 13 kB on the wire.
 pub const RECORD_LIMIT: usize = 256;
-/// Records of all reports that a router keeps: 1 MB of memory. Far more than are reported within
-/// [`CRASH_TTL`] unless the whole fleet's targets end again and again.
+/// Records that a router keeps over all reports: 1 MB of memory. Far more than are reported within
+/// [`CRASH_TTL`] unless all targets of the fleet crash repeatedly.
 const LEDGER_LIMIT: usize = 32_768;
-/// Time after which a report that was not renewed is dropped: its sender is gone, or has nothing to report,
-/// for it renews its report when its crashes no longer count.
+/// Time after which a report that was not renewed is dropped: its sender is gone or has nothing to report,
+/// because a sender also renews its report when crashes expire.
 pub const REPORT_TTL: Duration = CRASH_TTL.saturating_mul(2);
 
-/// Hash of a target's incarnation.
+/// Stable hash of a target's incarnation, the same in all processes.
 pub type IncarnationHash = u64;
 
-/// A call that was at a target. In documents for people it is text: JSON's numbers may lose digits beyond
-/// 53 bits.
+/// A call that was at a target. Human-readable formats hold it as text, because JSON numbers may lose
+/// digits beyond 53 bits.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CrashRecord {
-    /// The call.
+    /// Fingerprint of the call.
     pub call: CallFingerprint,
-    /// The incarnation of the target.
+    /// Hash of the target's incarnation.
     pub target: IncarnationHash,
 }
 
 impl CrashRecord {
-    /// A call at an incarnation of a target.
+    /// Records a call at an incarnation of a target.
     pub fn new(call: CallFingerprint, target: &TargetIncarnation) -> Self {
         Self { call, target: target.stable_hash() }
     }
@@ -87,34 +88,34 @@
     }
 }
 
-/// All that one router or agent reports of crashes.
+/// All crash records of one router or agent.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashReport {
     /// Name of the router or agent.
     pub router: Arc<str>,
-    /// Its start.
+    /// Boot id of the sender's current start.
     pub boot: BootId,
-    /// Grows with each change in this start.
+    /// Grows with each change; starts again at 0 with a new `boot`.
     pub sequence: u32,
     /// Calls that were at targets when these ended.
     pub crashes: Vec<CrashRecord>,
-    /// Crashes that no longer count, one for each later run of the call that came to its end.
+    /// Crashes that no longer count, one for each later run of the call that completed.
     pub survivals: Vec<CrashRecord>,
 }
 
 impl CrashReport {
-    /// Adds what an earlier start of the same router had reported.
+    /// Adds the records that an earlier start of the same router had reported.
     pub fn add_earlier(&mut self, earlier: &Self) {
         add_missing(&mut self.crashes, &earlier.crashes);
         add_missing(&mut self.survivals, &earlier.survivals);
     }
 
-    /// Whether this one is newer than another of the same start.
+    /// Whether this report is newer than another one with the same `boot`.
     pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.sequence, self.size()) > (known.sequence, known.size())
     }
 
-    /// Whether it reports nothing but that its sender is there.
+    /// Whether it holds no records.
     pub fn is_empty(&self) -> bool {
         self.size() == 0
     }
@@ -133,48 +134,48 @@
 }
 
 #[derive(Debug)]
-struct ToldReport {
+struct ReceivedReport {
     report: Arc<CrashReport>,
     taken: Timestamp,
 }
 
-/// The newest report of each start of a router, bounded in number and age.
+/// The newest report of each boot id, bounded in number of records and in age.
 #[derive(Debug, Default)]
 pub struct CrashReports {
-    told: HashMap<BootId, ToldReport>,
+    reports: HashMap<BootId, ReceivedReport>,
 }
 
 impl CrashReports {
-    /// Takes a report; returns whether it is new.
+    /// Stores a report if it is newer than the one known; returns whether it is.
     pub fn take(&mut self, report: &Arc<CrashReport>, now: Timestamp) -> bool {
-        let known = self.told.get(&report.boot);
+        let known = self.reports.get(&report.boot);
         if known.is_some_and(|known| !report.is_newer_than(&known.report)) {
             return false;
         }
-        self.told.insert(report.boot, ToldReport { report: Arc::clone(report), taken: now });
+        self.reports.insert(report.boot, ReceivedReport { report: Arc::clone(report), taken: now });
         while self.iter().map(|report| 1 + report.size()).sum::<usize>() > LEDGER_LIMIT {
-            let oldest = self.told.iter().min_by_key(|(_, told)| told.taken);
+            let oldest = self.reports.iter().min_by_key(|(_, received)| received.taken);
             let Some(boot) = oldest.map(|(boot, _)| *boot) else { break };
-            self.told.remove(&boot);
+            self.reports.remove(&boot);
         }
         true
     }
 
-    /// Drops reports that were not renewed, and returns them.
+    /// Drops reports that were not renewed within [`REPORT_TTL`], and returns them.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Arc<CrashReport>> {
         let mut dropped = Vec::new();
-        self.told.retain(|_, told| {
-            let is_kept = now.saturating_sub(told.taken) < REPORT_TTL;
+        self.reports.retain(|_, received| {
+            let is_kept = now.saturating_sub(received.taken) < REPORT_TTL;
             if !is_kept {
-                dropped.push(Arc::clone(&told.report));
+                dropped.push(Arc::clone(&received.report));
             }
             is_kept
         });
         dropped
     }
 
-    /// All reports.
+    /// All stored reports, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<CrashReport>> + Clone {
-        self.told.values().map(|told| &told.report)
+        self.reports.values().map(|received| &received.report)
     }
 }
--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -1,4 +1,4 @@
-//! Runs whose ends a router or agent does not know, until it shows whether their targets have ended.
+//! Runs with an unknown outcome, kept until it is known whether their targets have ended.
 
 use crate::{direct::membership::TargetIncarnation, fingerprint::CallFingerprint, ids::Timestamp};
 use std::{
@@ -6,57 +6,59 @@
     time::Duration,
 };
 
-/// Time for which a run whose end is unknown may prove to have been under way when its target ended: a
-/// target that falls silent leaves the list after three missed heartbeats, some 4 s.
+/// Time for which an unresolved run is kept. A target that stops sending heartbeats leaves the target list
+/// after three missed ones, some 4 s; only then is it known that the run was under way at its end.
 const UNRESOLVED_RUN_TTL: Duration = Duration::from_secs(6);
-/// Runs with an unknown end that a router remembers; bounds memory at about 30 kB.
-const OPEN_RUN_LIMIT: usize = 512;
-/// Targets whose last answers a router remembers: more than a fleet has.
+/// Unresolved runs that a router remembers; bounds memory at about 30 kB.
+const UNRESOLVED_RUN_LIMIT: usize = 512;
+/// Targets whose last answer times a router remembers: more than a fleet has.
 const ANSWER_LIMIT: usize = 2_048;
-/// Ended incarnations that a router remembers, for calls that break off a little later than the first.
+/// Ended incarnations that a router remembers, for calls that break off shortly after the first one.
 const ENDED_LIMIT: usize = 64;
 
-/// What is known of a target's incarnation.
+/// State of a target's incarnation, as far as is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IncarnationPhase {
-    /// It lives, as far as is known.
+    /// No sign that it has ended.
     Alive,
-    /// It is draining, so that its end tells nothing of its calls.
+    /// It is draining, so its end is planned and proves nothing about its calls.
     Draining,
     /// It has ended.
     Ended,
 }
 
-/// A run whose end is not known.
+/// A run with an unknown outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UnresolvedRun {
-    /// The call.
+    /// Fingerprint of the call.
     pub call: CallFingerprint,
-    /// When it was sent.
+    /// Time at which it was sent to the target.
     pub sent: Timestamp,
-    /// Whether its target broke it off; otherwise nobody waited any longer.
+    /// Whether the connection to the target broke; otherwise the caller left or its time ran out.
     pub is_broken: bool,
 }
 
 #[derive(Debug)]
-struct LeftRun {
+struct TrackedRun {
     target: TargetIncarnation,
     run: UnresolvedRun,
-    left: Timestamp,
+    /// When this process lost sight of the run.
+    closed: Timestamp,
 }
 
-/// Runs of this router's calls whose ends are not known, until it shows whether their targets have ended.
+/// Unresolved runs of this process's calls, with what decides which of them were under way when a target
+/// ended.
 #[derive(Debug, Default)]
 pub struct UnresolvedRuns {
-    runs: VecDeque<LeftRun>,
-    /// Incarnations that have ended, and when.
+    runs: VecDeque<TrackedRun>,
+    /// Incarnations that have ended, with the times of their ends, oldest first.
     ended: VecDeque<(TargetIncarnation, Timestamp)>,
-    /// When each target last answered.
+    /// Time of each target's last answer.
     answers: HashMap<TargetIncarnation, Timestamp>,
 }
 
 impl UnresolvedRuns {
-    /// A target answered: it lives, whatever it broke off before.
+    /// Records that a target answered: it has survived all runs that broke off before.
     pub fn note_answer(&mut self, target: &TargetIncarnation, now: Timestamp) {
         if self.answers.len() >= ANSWER_LIMIT {
             self.answers.retain(|_, at| now.saturating_sub(*at) < UNRESOLVED_RUN_TTL);
@@ -68,8 +70,8 @@
         }
     }
 
-    /// A call left a target without a sign of how its run ended. Returns when the target ended, if that is
-    /// known.
+    /// Adds a run whose outcome is unknown. Returns the time at which the target ended instead, if it is
+    /// known to have ended.
     pub fn add(
         &mut self,
         target: &TargetIncarnation,
@@ -80,45 +82,47 @@
         if let Some((_, at)) = ended {
             return Some(*at);
         }
-        if self.runs.len() >= OPEN_RUN_LIMIT {
+        if self.runs.len() >= UNRESOLVED_RUN_LIMIT {
             self.runs.pop_front();
         }
-        self.runs.push_back(LeftRun { target: target.clone(), run, left: now });
+        self.runs.push_back(TrackedRun { target: target.clone(), run, closed: now });
         None
     }
 
-    /// The target has ended; returns the calls that may have ended it.
+    /// Records that the target has ended, and returns the calls that may have ended it.
     ///
-    /// It ended when it first broke a run off after its last answer. Runs that it had broken off before,
-    /// and calls that were sent only afterwards, as through a proxy that goes on taking connections for
-    /// it, have nothing to do with its end.
+    /// The time of its end is that of the first run which broke off after its last answer. Runs that broke
+    /// off earlier are not suspects, nor are calls sent later: a proxy may still accept connections for a
+    /// target that has ended.
     pub fn take_ended(
         &mut self,
         target: &TargetIncarnation,
         now: Timestamp,
     ) -> Vec<CallFingerprint> {
-        let (taken, kept): (VecDeque<LeftRun>, VecDeque<LeftRun>) =
-            self.runs.drain(..).partition(|left| left.target == *target);
+        let (taken, kept): (VecDeque<TrackedRun>, VecDeque<TrackedRun>) =
+            self.runs.drain(..).partition(|tracked| tracked.target == *target);
         self.runs = kept;
         let last_answer = self.answers.remove(target).unwrap_or_default();
-        let is_last = |left: &&LeftRun| left.run.is_broken && left.left >= last_answer;
-        let ended = taken.iter().filter(is_last).map(|left| left.left).min().unwrap_or(now);
+        let is_last =
+            |tracked: &&TrackedRun| tracked.run.is_broken && tracked.closed >= last_answer;
+        let ended = taken.iter().filter(is_last).map(|tracked| tracked.closed).min().unwrap_or(now);
         if self.ended.len() >= ENDED_LIMIT {
             self.ended.pop_front();
         }
         self.ended.push_back((target.clone(), ended));
-        let is_suspect =
-            |left: &&LeftRun| left.run.sent <= ended && (!left.run.is_broken || left.left >= ended);
-        taken.iter().filter(is_suspect).map(|left| left.run.call).collect()
+        let is_suspect = |tracked: &&TrackedRun| {
+            tracked.run.sent <= ended && (!tracked.run.is_broken || tracked.closed >= ended)
+        };
+        taken.iter().filter(is_suspect).map(|tracked| tracked.run.call).collect()
     }
 
-    /// Drops runs that are too old or whose targets drain, and returns the targets that have ended.
+    /// Drops runs that are too old or whose targets are draining; returns the targets that have ended.
     pub fn resolve(
         &mut self,
         phase: impl Fn(&TargetIncarnation) -> IncarnationPhase,
         now: Timestamp,
     ) -> Vec<TargetIncarnation> {
-        self.runs.retain(|run| now.saturating_sub(run.left) < UNRESOLVED_RUN_TTL);
+        self.runs.retain(|run| now.saturating_sub(run.closed) < UNRESOLVED_RUN_TTL);
         let incarnations: BTreeSet<TargetIncarnation> =
             self.runs.iter().map(|run| run.target.clone()).collect();
         let mut ended = Vec::new();
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -1,5 +1,5 @@
-//! Requests that end targets: what routers know of them when news is lost, late or doubled, and what that
-//! means for the innocent.
+//! Detection of poison requests when crash reports are lost, late or duplicated, without quarantining
+//! innocent calls.
 
 use plantain_core::{
     crashes::{
@@ -13,7 +13,7 @@
 use quickcheck::{TestResult, quickcheck};
 use std::{sync::Arc, time::Duration};
 
-const FATAL: CallFingerprint = 7;
+const POISON: CallFingerprint = 7;
 const NOW: Timestamp = Duration::from_secs(1_000);
 
 fn incarnation(number: usize) -> TargetIncarnation {
@@ -28,91 +28,93 @@
     Arc::new(ledger.own_report().clone())
 }
 
-/// Routers, each of which has seen the fatal call end one target.
+/// Routers that have each recorded one crash of the poison request.
 fn witnesses(count: usize) -> Vec<CrashLedger> {
     let with_crash = |number: usize| {
         let mut ledger = ledger(number as u64);
-        // Its other calls at that target are innocent.
+        // The router's other call at that target is innocent.
         let innocent = 1_000 + number as u128;
-        ledger.record_crash(&incarnation(number), &[FATAL, innocent], NOW);
+        ledger.record_crash(&incarnation(number), &[POISON, innocent], NOW);
         ledger
     };
     (0..count).map(with_crash).collect()
 }
 
-/// Each of 330 routers has seen one crash only. Whoever has heard of any three holds the call back, in
-/// whatever order and how often news came, and spares every call that shared one of the crashes.
+/// Each of 330 routers has seen one crash only. A router with the reports of any three quarantines the call,
+/// whatever the order and number of deliveries, and no call that shared one of the crashes.
 #[test]
-fn three_of_many_witnesses_are_enough() {
+fn three_reports_of_many_routers_suffice() {
     let routers = witnesses(330);
     for first in [0, 117, 327] {
         let mut newcomer = ledger(9_999);
-        for (heard, router) in routers[first..first + QUARANTINE_CRASHES].iter().rev().enumerate() {
-            assert!(!newcomer.is_quarantined(FATAL), "held after {heard} crashes");
+        for (received, router) in
+            routers[first..first + QUARANTINE_CRASHES].iter().rev().enumerate()
+        {
+            assert!(!newcomer.is_quarantined(POISON), "quarantined after {received} crashes");
             assert!(newcomer.take_report(&report(router), NOW));
-            assert!(!newcomer.take_report(&report(router), NOW), "the same news twice");
+            assert!(!newcomer.take_report(&report(router), NOW), "the same report twice");
         }
-        assert!(newcomer.is_quarantined(FATAL));
+        assert!(newcomer.is_quarantined(POISON));
         for innocent in 0..330 {
             assert!(!newcomer.is_quarantined(1_000 + innocent));
         }
     }
 }
 
-/// Several routers have calls at one target that ends. It is one crash, however many tell of it.
+/// Several routers have calls at one target that ends. It counts as one crash, however many report it.
 #[test]
 fn one_crash_reported_by_many_counts_once() {
-    let mut hearer = ledger(99);
+    let mut receiver = ledger(99);
     for boot in 0..10 {
         let mut router = ledger(boot);
-        router.record_crash(&incarnation(1), &[FATAL], NOW);
-        hearer.take_report(&report(&router), NOW);
+        router.record_crash(&incarnation(1), &[POISON], NOW);
+        receiver.take_report(&report(&router), NOW);
     }
-    assert_eq!(hearer.crashes_under(FATAL), 1);
+    assert_eq!(receiver.crashes_under(POISON), 1);
 }
 
-/// An older report comes after a newer one, as datagrams and reads of stale copies do: what the newer one
-/// told still counts.
+/// Guards against an older report that arrives after a newer one, as with reordered datagrams or reads of a
+/// stale copy, and takes back crashes.
 #[test]
-fn late_reports_undo_nothing() {
-    let mut teller = ledger(1);
+fn stale_reports_are_ignored() {
+    let mut sender = ledger(1);
     let mut reports = Vec::new();
     for number in 0..QUARANTINE_CRASHES {
-        teller.record_crash(&incarnation(number), &[FATAL], NOW);
-        reports.push(report(&teller));
+        sender.record_crash(&incarnation(number), &[POISON], NOW);
+        reports.push(report(&sender));
     }
-    let mut hearer = ledger(2);
+    let mut receiver = ledger(2);
     for report in reports.iter().rev() {
-        hearer.take_report(report, NOW);
+        receiver.take_report(report, NOW);
     }
-    assert!(hearer.is_quarantined(FATAL));
+    assert!(receiver.is_quarantined(POISON));
 }
 
-/// A router that has seen two of three crashes is killed and starts again. What it had told is added to what
-/// it tells in its new life, so that its old report may be overwritten.
+/// A router that has seen two of three crashes is killed and starts again. Its earlier records are added to
+/// its new report, so that the old report may be overwritten in the store.
 #[test]
 fn a_restart_loses_no_crash() {
     let mut before = ledger(1);
-    before.record_crash(&incarnation(1), &[FATAL], NOW);
-    before.record_crash(&incarnation(2), &[FATAL], NOW);
+    before.record_crash(&incarnation(1), &[POISON], NOW);
+    before.record_crash(&incarnation(2), &[POISON], NOW);
     let mut after = ledger(2);
-    after.record_crash(&incarnation(3), &[FATAL], NOW);
-    let mut told = after.own_report().clone();
-    told.add_earlier(before.own_report());
-    let mut hearer = ledger(3);
-    hearer.take_report(&Arc::new(told), NOW);
-    assert!(hearer.is_quarantined(FATAL));
+    after.record_crash(&incarnation(3), &[POISON], NOW);
+    let mut merged = after.own_report().clone();
+    merged.add_earlier(before.own_report());
+    let mut receiver = ledger(3);
+    receiver.take_report(&Arc::new(merged), NOW);
+    assert!(receiver.is_quarantined(POISON));
 }
 
-/// Callers poll the same path with the same empty body, so that their calls look like one request. Targets
-/// end under them by chance; but the polls in between come to their end, and each takes a crash away.
+/// Callers poll the same path with the same empty body, so their calls have one fingerprint. Targets end
+/// under them by chance; the polls in between complete, and each of them clears a crash.
 #[test]
 fn a_call_that_survives_is_cleared() {
-    let poll = FATAL;
+    let poll = POISON;
     let (mut first, mut second) = (ledger(1), ledger(2));
     let mut now = NOW;
     for number in 0..50 {
-        // Rarely enough that a poll which ended before its crash no longer speaks for it.
+        // Far enough apart that a poll which completed before the crash no longer clears it.
         now += Duration::from_secs(30);
         first.record_crash(&incarnation(number), &[poll], now);
         second.take_report(&report(&first), now);
@@ -123,27 +125,27 @@
             assert_eq!(router.crashes_under(poll), 0, "after round {number}");
         }
     }
-    assert!(!second.record_survival(poll, now), "nothing speaks against it");
+    assert!(!second.record_survival(poll, now), "it has no crash left to clear");
 }
 
 /// Callers poll a path many times a second while another request ends three targets, each with a poll in
-/// flight. That a target has ended shows only seconds later, when the list drops it, and all three crashes
-/// are told at once. Polls have come to their ends meanwhile, at the router that tells and at the one that
-/// hears, and none of the two may hold the polls back.
+/// flight. The ends are detected only seconds later, when the targets leave the list, and all three crashes
+/// are reported at once. Polls have completed meanwhile, at the sender or the receiver of the report, and
+/// neither of them may quarantine the polls.
 #[test]
-fn a_poll_that_just_came_to_its_end_is_no_suspect() {
-    let poll = FATAL;
-    let mut teller = ledger(1);
-    let mut hearer = ledger(2);
-    hearer.record_survival(poll, NOW);
+fn a_recently_completed_call_is_no_suspect() {
+    let poll = POISON;
+    let mut sender = ledger(1);
+    let mut receiver = ledger(2);
+    receiver.record_survival(poll, NOW);
     for number in 0..QUARANTINE_CRASHES {
-        teller.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
+        sender.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
     }
-    assert!(teller.is_quarantined(poll), "the teller itself has no poll that ended");
-    hearer.take_report(&report(&teller), NOW + Duration::from_secs(3));
-    assert!(!hearer.is_quarantined(poll));
-    teller.take_report(&report(&hearer), NOW + Duration::from_secs(3));
-    assert!(!teller.is_quarantined(poll));
+    assert!(sender.is_quarantined(poll), "the teller itself has no poll that ended");
+    receiver.take_report(&report(&sender), NOW + Duration::from_secs(3));
+    assert!(!receiver.is_quarantined(poll));
+    sender.take_report(&report(&receiver), NOW + Duration::from_secs(3));
+    assert!(!sender.is_quarantined(poll));
 
     let mut alone = ledger(3);
     alone.record_survival(poll, NOW);
@@ -154,63 +156,64 @@
     for number in QUARANTINE_CRASHES..2 * QUARANTINE_CRASHES {
         alone.record_crash(&incarnation(number), &[poll], NOW + Duration::from_mins(1));
     }
-    assert!(alone.is_quarantined(poll), "a run that ended a minute before proves nothing");
+    assert!(alone.is_quarantined(poll), "a run that completed a minute earlier clears nothing");
 }
 
-/// A call was held back by mistake. It is free again once its crashes are too old, at the router that saw
-/// them and at the others, which also forget a router that is gone for good.
+/// A call was quarantined by mistake. It is served again once its crashes have expired, at the router that
+/// recorded them and at the others, also at one that no longer receives reports.
 #[test]
-fn crashes_grow_old() {
-    let mut teller = ledger(1);
+fn crashes_expire() {
+    let mut sender = ledger(1);
     for number in 0..QUARANTINE_CRASHES {
-        teller.record_crash(&incarnation(number), &[FATAL], NOW);
+        sender.record_crash(&incarnation(number), &[POISON], NOW);
     }
-    let mut hearer = ledger(2);
-    let mut lonely = ledger(3);
-    for router in [&mut hearer, &mut lonely] {
-        router.take_report(&report(&teller), NOW);
-        assert!(!router.expire(NOW + CRASH_TTL), "it has nothing of its own to tell");
-        assert!(router.is_quarantined(FATAL));
+    let mut receiver = ledger(2);
+    let mut isolated = ledger(3);
+    for router in [&mut receiver, &mut isolated] {
+        router.take_report(&report(&sender), NOW);
+        assert!(!router.expire(NOW + CRASH_TTL), "it has no records of its own");
+        assert!(router.is_quarantined(POISON));
     }
-    assert!(!teller.expire(NOW + CRASH_TTL / 2));
-    assert!(teller.expire(NOW + CRASH_TTL));
-    assert!(!teller.is_quarantined(FATAL));
-    hearer.take_report(&report(&teller), NOW + CRASH_TTL);
-    assert!(!hearer.is_quarantined(FATAL));
-    lonely.expire(NOW + REPORT_TTL);
-    assert!(lonely.is_empty());
+    assert!(!sender.expire(NOW + CRASH_TTL / 2));
+    assert!(sender.expire(NOW + CRASH_TTL));
+    assert!(!sender.is_quarantined(POISON));
+    receiver.take_report(&report(&sender), NOW + CRASH_TTL);
+    assert!(!receiver.is_quarantined(POISON));
+    isolated.expire(NOW + REPORT_TTL);
+    assert!(isolated.is_empty());
 }
 
-/// Engines end one after the other with hundreds of innocent calls each. Memory stays bounded, and the
-/// call that is at fault is not pushed out by those that shared its crashes.
+/// Engines end one after the other with hundreds of innocent calls each. The report stays bounded, and the
+/// calls that shared the crashes do not evict the poison request.
 #[test]
-fn a_flood_of_innocent_calls_hides_no_culprit() {
+fn innocent_calls_do_not_evict_the_poison_request() {
     let mut router = ledger(1);
     let mut next = 1_000;
     for number in 0..QUARANTINE_CRASHES {
         let mut calls: Vec<CallFingerprint> = (next..next + 300).collect();
         next += 300;
-        calls.insert(150, FATAL);
-        // The culprit is among the newest, so it outlives this crash; then it has two and stays.
+        calls.insert(150, POISON);
+        // The poison request is among the newest records, so it is kept until it has two crashes; then it
+        // is not evicted any more.
         calls.rotate_left(151);
         router.record_crash(&incarnation(number), &calls, NOW);
         assert!(router.own_report().crashes.len() <= RECORD_LIMIT);
     }
-    assert!(router.is_quarantined(FATAL));
+    assert!(router.is_quarantined(POISON));
 }
 
-/// Reports of very many starts of routers come, as of a fleet that restarts all the time for a day.
+/// Reports with very many boot ids arrive, as from a fleet that restarts repeatedly for a day.
 #[test]
 fn memory_is_bounded_over_all_reports() {
-    let mut hearer = ledger(0);
+    let mut receiver = ledger(0);
     let calls: Vec<CallFingerprint> = (0..RECORD_LIMIT as u128).collect();
     for boot in 1..=600 {
-        let mut teller = ledger(boot);
-        teller.record_crash(&incarnation(boot as usize), &calls, NOW);
-        hearer.take_report(&report(&teller), NOW + Duration::from_millis(boot));
+        let mut sender = ledger(boot);
+        sender.record_crash(&incarnation(boot as usize), &calls, NOW);
+        receiver.take_report(&report(&sender), NOW + Duration::from_millis(boot));
     }
     // 32,768 records are 128 such reports.
-    assert!((100..=128).contains(&hearer.crashes_under(3)), "{}", hearer.crashes_under(3));
+    assert!((100..=128).contains(&receiver.crashes_under(3)), "{}", receiver.crashes_under(3));
 }
 
 struct PhaseCase {
@@ -220,8 +223,8 @@
     remains: bool,
 }
 
-/// A caller goes away while its request runs, so that this router does not see it broken off; then the
-/// target ends. Only the end itself tells, for some seconds, unless the target was leaving by plan.
+/// A caller leaves while its request runs, so the router does not see the run break off; then the target
+/// ends. The run counts if the target ends within some seconds, unless the target was draining.
 #[test]
 fn an_abandoned_run_counts_if_its_target_ends_soon() {
     let second = Duration::from_secs(1);
@@ -239,7 +242,7 @@
     ];
     for PhaseCase { phase, after, ends, remains } in cases {
         let mut runs = UnresolvedRuns::default();
-        let run = UnresolvedRun { call: FATAL, sent: NOW, is_broken: false };
+        let run = UnresolvedRun { call: POISON, sent: NOW, is_broken: false };
         assert_eq!(runs.add(&incarnation(1), run, NOW), None);
         let ended = runs.resolve(|_| phase, NOW + after);
         assert_eq!(!ended.is_empty(), ends, "{phase:?} after {after:?}");
@@ -258,15 +261,15 @@
     is_suspect: bool,
 }
 
-/// A target loses an answer at 100 ms and answers others until 500 ms; it ends at 600 ms under the fatal
-/// call. Calls that are sent to it afterwards break off too, for the list still names it. Only those that
-/// were there at its end are suspects, and those whose callers had left before.
+/// A target loses an answer at 100 ms and answers others until 500 ms; it ends at 600 ms under the poison
+/// request. Calls that are sent to it later break off too, because the list still holds it. Suspects are
+/// only the calls that were there at its end, and those whose callers had left before.
 #[test]
 fn only_calls_at_the_end_are_suspects() {
     let cases = [
         RunCase { call: 1, sent_ms: 0, left_ms: 100, is_broken: true, is_suspect: false },
         RunCase { call: 2, sent_ms: 50, left_ms: 300, is_broken: false, is_suspect: true },
-        RunCase { call: FATAL, sent_ms: 550, left_ms: 600, is_broken: true, is_suspect: true },
+        RunCase { call: POISON, sent_ms: 550, left_ms: 600, is_broken: true, is_suspect: true },
         RunCase { call: 3, sent_ms: 400, left_ms: 602, is_broken: true, is_suspect: true },
         RunCase { call: 4, sent_ms: 700, left_ms: 701, is_broken: true, is_suspect: false },
         RunCase { call: 5, sent_ms: 900, left_ms: 950, is_broken: false, is_suspect: false },
@@ -285,20 +288,20 @@
     }
 }
 
-/// A request ends five targets within a second, before anybody knows. Another one, whose caller sent it
-/// at once again each time, was at three of these. It is served: the first one explains them all. When it
-/// ends three targets by itself, it is held back as well.
+/// A request ends five targets within a second, before it is quarantined. Another request, which its caller
+/// retried at once each time, was at three of these targets. It is not quarantined, because the first one
+/// explains all its crashes. When it ends three targets by itself, it is quarantined as well.
 #[test]
 fn a_likelier_cause_clears_the_others() {
     let companion = 8;
     let mut router = ledger(1);
     for number in 0..5 {
-        router.record_crash(&incarnation(number), &[FATAL], NOW);
+        router.record_crash(&incarnation(number), &[POISON], NOW);
     }
     for number in 0..QUARANTINE_CRASHES {
         router.record_crash(&incarnation(number), &[companion], NOW);
     }
-    assert!(router.is_quarantined(FATAL));
+    assert!(router.is_quarantined(POISON));
     assert!(!router.is_quarantined(companion));
     for number in 10..10 + QUARANTINE_CRASHES {
         router.record_crash(&incarnation(number), &[companion], NOW);
@@ -307,29 +310,29 @@
 }
 
 quickcheck! {
-    /// Whatever reports are lost or come twice, in whatever order: nobody counts more crashes than there
-    /// were, and who has the newest report of each router counts all of them.
+    /// Reports are lost, duplicated and reordered: a receiver never counts more crashes than there were, and
+    /// counts all of them once it has the newest report of each router.
     fn reports_in_any_order_add_up(crashes: Vec<(u8, u8)>, order: Vec<usize>) -> TestResult {
-        let mut tellers: Vec<CrashLedger> = (0..4).map(ledger).collect();
+        let mut senders: Vec<CrashLedger> = (0..4).map(ledger).collect();
         let mut sent: Vec<Arc<CrashReport>> = Vec::new();
         let mut incarnations = std::collections::BTreeSet::new();
         for (router, target) in crashes {
-            let teller = &mut tellers[usize::from(router % 4)];
-            teller.record_crash(&incarnation(usize::from(target)), &[FATAL], NOW);
+            let sender = &mut senders[usize::from(router % 4)];
+            sender.record_crash(&incarnation(usize::from(target)), &[POISON], NOW);
             incarnations.insert(target);
-            sent.push(report(teller));
+            sent.push(report(sender));
         }
         if sent.is_empty() {
             return TestResult::discard();
         }
-        let mut hearer = ledger(99);
+        let mut receiver = ledger(99);
         for index in order {
-            hearer.take_report(&sent[index % sent.len()], NOW);
+            receiver.take_report(&sent[index % sent.len()], NOW);
         }
-        let heard = hearer.crashes_under(FATAL);
-        for teller in &tellers {
-            hearer.take_report(&report(teller), NOW);
+        let received = receiver.crashes_under(POISON);
+        for sender in &senders {
+            receiver.take_report(&report(sender), NOW);
         }
-        TestResult::from_bool(heard <= incarnations.len() && hearer.crashes_under(FATAL) == incarnations.len())
+        TestResult::from_bool(received <= incarnations.len() && receiver.crashes_under(POISON) == incarnations.len())
     }
 }
