--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -1,7 +1,7 @@
-//! The agent's state machine: sole authority over its one target.
+//! The agent's state machine: it alone controls its one target.
 //!
-//! Events go in, actions come out. Because nothing else orders the target anything, promises such
-//! as "an adapter in use is never evicted" are local invariants of this module.
+//! It takes events and returns actions. Because nothing else sends orders to the target, rules such as
+//! "an adapter in use is never evicted" are local invariants of this module.
 
 mod admission;
 mod dispatch;
@@ -27,14 +27,14 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Time after which a reservation that was never released lapses. It only has to outlast the
-/// entry's request of the idempotency key, a few platform round trips.
+/// Time after which a reservation that was never released expires. It only has to outlast the
+/// entry's claim of the idempotency key, a few round trips to the platform.
 pub const RESERVATION_TTL: Duration = Duration::from_secs(10);
-/// First guess of the time that a request runs, until requests have been seen.
+/// Estimate of a request's service time until the first request has ended.
 const SERVICE_TIME_GUESS: Duration = Duration::from_millis(200);
-/// Chance that an evicted adapter must be loaded again soon, for each unit of its demand.
+/// Probability that an evicted adapter must be loaded again soon, per unit of its demand.
 const RELOAD_CHANCE: f64 = 0.1;
-/// Demand that stands for that of the victim when all adapters are in use.
+/// Demand assumed for the victim when all adapters are in use.
 const PINNED_DEMAND: f64 = 50.0;
 
 /// Fixed properties of an agent and its target.
@@ -50,17 +50,17 @@
     pub load_limit: usize,
     /// Which adapter to evict.
     pub eviction: EvictionPolicy,
-    /// Where the resident set's counter starts; higher than any that an earlier process has sent.
+    /// Start of the resident set's counter; higher than any value that an earlier process has sent.
     pub residency_base: u64,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum WorkPhase {
-    /// Accepted, not yet released by the entry; lapses at this time.
+    /// Accepted, not yet released by the entry; expires at this time.
     Reserved(Timestamp),
-    /// Waits for its adapter or a batch place.
+    /// Waits for its adapter or a batch slot.
     Queued,
-    /// Handed to the target.
+    /// Sent to the target.
     Running,
 }
 
@@ -79,10 +79,10 @@
     options: AgentOptions,
     queue_limit: u32,
     revision: ConfigRevision,
-    leaving: bool,
+    draining: bool,
     leased: bool,
     target_up: bool,
-    statement: AdvertisedState,
+    advertised: AdvertisedState,
     running: u32,
     works: HashMap<WorkId, WorkRecord>,
     queue: WorkQueue,
@@ -100,10 +100,10 @@
             options,
             queue_limit: PresetRecord::new("initial").queue_limit,
             revision: 0,
-            leaving: false,
+            draining: false,
             leased: true,
             target_up: false,
-            statement: AdvertisedState::default(),
+            advertised: AdvertisedState::default(),
             running: 0,
             works: HashMap::new(),
             queue: WorkQueue::default(),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Takes in one event and returns what to do about it, in order.
+    /// Handles one event and returns the resulting actions, in order.
     pub fn handle(&mut self, event: AgentEvent, now: Timestamp) -> Vec<AgentAction> {
         match event {
             AgentEvent::Offered(offer) => self.offered(*offer, now),
@@ -127,27 +127,27 @@
             }
             AgentEvent::EvictEnded { key, evicted } => self.residents.evict_ended(&key, evicted),
             AgentEvent::Inventory(held) => {
-                self.residents.adopt(held, now);
-                self.want_missing(now);
+                self.residents.reconcile(held, now);
+                self.request_missing_loads(now);
             }
             AgentEvent::TargetRestarted => self.target_restarted(now),
             AgentEvent::TargetUp(up) => self.set_target_up(up),
-            AgentEvent::TargetRests(rest) => self.target_rests(rest, now),
+            AgentEvent::TargetBacksOff(backoff) => self.start_backoff(backoff, now),
             AgentEvent::LeaseHeld(held) => self.leased = held,
             AgentEvent::Configured { revision, queue_limit } => {
                 self.revision = self.revision.max(revision);
                 self.queue_limit = queue_limit;
             }
-            AgentEvent::Stopping => self.leaving = true,
+            AgentEvent::Stopping => self.draining = true,
             AgentEvent::Tick => self.expire(now),
         }
-        self.pump(now);
+        self.dispatch_work(now);
         std::mem::take(&mut self.actions)
     }
 
     /// Whether the agent may exit: it is stopping and holds no accepted work.
     pub fn is_drained(&self) -> bool {
-        self.leaving && self.works.is_empty()
+        self.draining && self.works.is_empty()
     }
 
     /// Whether this process holds the lease of its target.
@@ -155,12 +155,12 @@
         self.leased
     }
 
-    /// Whether the target answers.
+    /// Whether the target answered its last health check.
     pub fn is_target_up(&self) -> bool {
         self.target_up
     }
 
-    /// Requests handed to the target and not yet ended.
+    /// Requests sent to the target and not yet ended.
     pub fn running(&self) -> u32 {
         self.running
     }
@@ -170,22 +170,23 @@
         self.works.len() as u32 - self.running
     }
 
-    /// The resident set, for invariants and status pages.
+    /// The resident set, for tests and status pages.
     pub fn residents(&self) -> &ResidentTable {
         &self.residents
     }
 
-    /// Adapters that accepted work waits for.
+    /// Number of adapters that accepted work waits for.
     pub fn loads_wanted(&self) -> usize {
         self.loads.keys().count()
     }
 
-    /// How many requests of this target hold `key`, queued and reserved ones included.
+    /// Number of requests that pin `key`, queued and reserved ones included.
     pub fn pins(&self, key: &AdapterKey) -> u32 {
         self.residents.pins(key)
     }
 
-    /// The state to send back; residents only if the receiver's counter is not current.
+    /// The state to send back to an entry; includes the residents only if `known_residency`, the entry's
+    /// counter, is out of date.
     pub fn report(&self, known_residency: u64, now: Timestamp) -> TargetReport {
         let changes = self.residents.counter() + self.loads.counter();
         let residency = self.options.residency_base + changes;
@@ -201,12 +202,13 @@
             load_wait: self.loads.expected_wait(self.options.load_limit, now),
             slot_cost: self.slot_cost(now),
             service_time: self.service_time.read(),
-            leaving: self.leaving,
+            leaving: self.draining,
             revision: self.revision,
         }
     }
 
-    /// An evicted adapter is loaded again with a chance that grows with its demand.
+    /// Expected cost of the eviction that a load needs. The probability that the evicted adapter is loaded
+    /// again grows with its demand.
     fn slot_cost(&self, now: Timestamp) -> Duration {
         let demand = self.residents.victim_demand(now).unwrap_or(PINNED_DEMAND);
         self.loads.load_time().mul_f64(demand * RELOAD_CHANCE)
@@ -214,7 +216,7 @@
 
     fn offered(&mut self, offer: OfferSummary, now: Timestamp) {
         let work = offer.work;
-        match self.judge(&offer, now) {
+        match self.check_offer(&offer, now) {
             Err(refusal) => self.actions.push(AgentAction::Refuse { work, refusal }),
             Ok(()) => self.accept(offer, now),
         }
@@ -242,25 +244,25 @@
             stall: ready.then_some(Duration::ZERO),
             offer,
         };
-        self.want_load(&record, now);
+        self.request_load(&record, now);
         self.works.insert(work, record);
         self.actions.push(AgentAction::Accept { work });
     }
 
-    fn want_load(&mut self, record: &WorkRecord, now: Timestamp) {
+    fn request_load(&mut self, record: &WorkRecord, now: Timestamp) {
         if let WorkItem::Completion { key, .. } = &record.offer.item
             && !self.residents.is_present(key)
-            && let Some(urgency) = self.loads.want(key, record.offer.priority, now)
+            && let Some(urgency) = self.loads.request(key, record.offer.priority, now)
         {
             self.actions.push(AgentAction::AskPermit { key: key.clone(), urgency });
         }
     }
 
-    /// Wants a load again for all accepted work whose adapter has gone, as after a restart.
-    fn want_missing(&mut self, now: Timestamp) {
+    /// Requests loads for all accepted work whose adapter is no longer resident, as after a restart.
+    fn request_missing_loads(&mut self, now: Timestamp) {
         let works = std::mem::take(&mut self.works);
         for record in works.values().filter(|record| record.phase != WorkPhase::Running) {
-            self.want_load(record, now);
+            self.request_load(record, now);
         }
         self.works = works;
     }
@@ -276,8 +278,8 @@
     fn cancelled(&mut self, work: WorkId) {
         let Some(record) = self.works.get(&work) else { return };
         match record.phase {
-            // Work that the target may have begun is its own to end; a non-idempotent request runs
-            // on, because aborting it would leave its effect half done and its result unknown.
+            // A non-idempotent request that runs is not aborted, because that would leave its effect
+            // half done and its outcome unknown.
             WorkPhase::Running if record.offer.idempotent => {
                 self.actions.push(AgentAction::Abort { work });
             }
@@ -298,8 +300,8 @@
         self.forget(work);
     }
 
-    /// The engine refused the request because it does not hold the adapter, so nothing ran: it goes
-    /// back to the queue and the adapter is loaded again.
+    /// Requeues a request that the engine refused because it does not hold the adapter, and requests
+    /// the load again. The request has not run.
     fn adapter_missing(&mut self, work: WorkId, now: Timestamp) {
         let Some(record) = self.works.get_mut(&work) else { return };
         if record.phase != WorkPhase::Running {
@@ -310,9 +312,9 @@
         self.running -= 1;
         self.queue.push(QueuedWork::new(&record.offer));
         if let WorkItem::Completion { key, .. } = &record.offer.item {
-            self.residents.lose(key);
+            self.residents.mark_missing(key);
         }
-        self.want_missing(now);
+        self.request_missing_loads(now);
     }
 
     fn load_ended(&mut self, key: &AdapterKey, result: LoadResult, took: Duration, now: Timestamp) {
@@ -320,7 +322,7 @@
             LoadResult::Loaded => {
                 self.residents.load_ended(key, true, now);
                 self.loads.loaded(key, took);
-                self.settle_stalls(key, now);
+                self.record_stalls(key, now);
             }
             LoadResult::Failed | LoadResult::StoreBusy => {
                 self.residents.load_ended(key, false, now);
@@ -331,7 +333,7 @@
         }
     }
 
-    fn settle_stalls(&mut self, key: &AdapterKey, now: Timestamp) {
+    fn record_stalls(&mut self, key: &AdapterKey, now: Timestamp) {
         for record in self.works.values_mut().filter(|record| record.offer.needs(key)) {
             record.stall.get_or_insert(now.saturating_sub(record.accepted));
         }
@@ -347,36 +349,37 @@
         }
     }
 
-    /// Work that the target does not have yet had better go elsewhere.
-    fn target_rests(&mut self, rest: Duration, now: Timestamp) {
-        self.statement.record_backoff(rest, now);
+    /// Starts the backoff that the target asked for, and refuses all waiting work, so that entries can
+    /// offer it to other targets.
+    fn start_backoff(&mut self, backoff: Duration, now: Timestamp) {
+        self.advertised.record_backoff(backoff, now);
         let is_waiting = |record: &&WorkRecord| record.phase != WorkPhase::Running;
         let waiting: Vec<WorkId> =
             self.works.values().filter(is_waiting).map(|record| record.offer.work).collect();
         for work in waiting {
-            let refusal = self.rest_refusal(now);
+            let refusal = self.backoff_refusal(now);
             self.refuse_with(work, refusal);
         }
     }
 
-    /// One that comes back after it was down is taken for a new incarnation: not all targets tell of their
-    /// starts.
+    /// Records whether the target answers. One that was down and answers again counts as a new incarnation,
+    /// because not all targets report their start.
     fn set_target_up(&mut self, up: bool) {
         if up && !self.target_up {
-            self.statement = AdvertisedState::default();
+            self.advertised = AdvertisedState::default();
         }
         self.target_up = up;
     }
 
     fn target_restarted(&mut self, now: Timestamp) {
-        self.statement = AdvertisedState::default();
+        self.advertised = AdvertisedState::default();
         self.residents.clear();
         self.loads.forget_started();
-        self.want_missing(now);
+        self.request_missing_loads(now);
     }
 
-    /// Refuses accepted work whose time has run out, or whose load cannot end in time. It was never
-    /// handed on, so the refusal is true, and giving it now leaves the caller time to act.
+    /// Refuses accepted work that has passed its deadline or whose reservation has expired. It was never
+    /// sent to the target, so it is certain that it did not run.
     fn expire(&mut self, now: Timestamp) {
         let late: Vec<WorkId> = self
             .works
@@ -415,7 +418,7 @@
         self.queue.remove(work);
         if let WorkItem::Completion { key, .. } = &record.offer.item {
             self.residents.unpin(key);
-            if self.residents.pins(key) == 0 && self.loads.unwant(key) {
+            if self.residents.pins(key) == 0 && self.loads.cancel(key) {
                 self.actions.push(AgentAction::DropPermit { key: key.clone() });
             }
         }
--- a/crates/core/src/agent/admission.rs
+++ b/crates/core/src/agent/admission.rs
@@ -1,4 +1,4 @@
-//! Whether an offer is taken: at once, and with when to come back if not.
+//! Admission of offers: accepts an offer, or refuses it at once with a time after which to retry.
 
 use crate::{
     agent::{AgentState, events::OfferSummary},
@@ -10,18 +10,22 @@
 };
 use std::time::Duration;
 
-/// Lowest advice on when to come back.
+/// Lower bound of `retry_after` in refusals.
 const RETRY_AFTER_FLOOR: Duration = Duration::from_millis(100);
-/// Share of the mean service time that a request must have left when it starts; shorter answers than
-/// the mean may still make it.
+/// Share of the mean service time that a request must have left when it starts. Below 1, because
+/// requests shorter than the mean may still end in time.
 const SERVICE_SHARE: f64 = 0.7;
-/// Share of the queue that each priority may fill, by rank: the upper priority always finds room
-/// that the lower ones cannot take.
+/// Share of the queue that each priority may fill, by rank: part of the queue is reserved for the
+/// higher priorities.
 const QUEUE_SHARES: [f64; 3] = [1.0, 0.8, 0.5];
 
 impl AgentState {
-    pub(super) fn judge(&mut self, offer: &OfferSummary, now: Timestamp) -> Result<(), Refusal> {
-        if self.leaving {
+    pub(super) fn check_offer(
+        &mut self,
+        offer: &OfferSummary,
+        now: Timestamp,
+    ) -> Result<(), Refusal> {
+        if self.draining {
             return Err(Refusal::new(RefusalReason::Leaving));
         }
         if !self.leased {
@@ -36,20 +40,21 @@
         if !self.target_up {
             return Err(self.refusal(RefusalReason::TargetDown));
         }
-        if self.statement.is_backing_off(now) {
-            return Err(self.rest_refusal(now));
+        if self.advertised.is_backing_off(now) {
+            return Err(self.backoff_refusal(now));
         }
         let expected = self.expected_start(&offer.item, now);
         if self.is_too_late(expected, offer.time_left) {
             let delay = expected.max(RETRY_AFTER_FLOOR);
             return Err(Refusal::new(RefusalReason::TooLate).with_retry_after(delay));
         }
-        self.make_room(offer.priority)
+        self.reserve_queue_slot(offer.priority)
     }
 
-    /// What starts too late to end in time only takes its place from what could. What can start at
-    /// once is taken, however long others run: refusing it would leave the mean as it is for ever.
-    /// An offer without time left may come from an entry that was frozen before it sent it.
+    /// Whether a request is expected to miss its deadline; accepting it would take a slot from one that
+    /// does not. A request that can start at once is accepted whatever the mean service time is:
+    /// otherwise no request would run any more and the mean would never change. An offer without time
+    /// left may come from an entry whose process was suspended before it sent the offer.
     fn is_too_late(&self, expected: Duration, time_left: Duration) -> bool {
         if expected.is_zero() {
             return time_left.is_zero();
@@ -72,8 +77,8 @@
         Refusal::new(reason).with_retry_after(delay)
     }
 
-    pub(super) fn rest_refusal(&self, now: Timestamp) -> Refusal {
-        let left = self.statement.backoff_until.saturating_sub(now);
+    pub(super) fn backoff_refusal(&self, now: Timestamp) -> Refusal {
+        let left = self.advertised.backoff_until.saturating_sub(now);
         Refusal::new(RefusalReason::TargetDown).with_retry_after(left.max(RETRY_AFTER_FLOOR))
     }
 
@@ -91,8 +96,9 @@
         queue.max(stall)
     }
 
-    /// Finds a queue place, taking it from the newest least important work if it must.
-    fn make_room(&mut self, priority: Priority) -> Result<(), Refusal> {
+    /// Makes sure that the queue has a free slot for the priority, if necessary by refusing the newest
+    /// work of the lowest priority below it.
+    fn reserve_queue_slot(&mut self, priority: Priority) -> Result<(), Refusal> {
         let free = self.options.batch_limit.saturating_sub(self.running);
         let limit = (f64::from(self.queue_limit) * QUEUE_SHARES[priority.rank()]) as u32 + free;
         if self.queued() < limit {
--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -1,4 +1,4 @@
-//! What goes to the target next: requests whose adapter is there, loads that have a permit.
+//! Dispatch to the target: requests whose adapter is resident, and loads that have a permit.
 
 use crate::{
     agent::{AgentState, WorkPhase, events::AgentAction},
@@ -6,18 +6,19 @@
     protocol::WorkItem,
 };
 
-/// Load permits that an agent asks for at once.
+/// Load permits that an agent may request or hold at the same time.
 const PERMIT_LIMIT: usize = 16;
 
 impl AgentState {
-    /// Starts what can start and orders the loads that have a permit and a slot.
-    pub(super) fn pump(&mut self, now: Timestamp) {
+    /// Starts the requests that can run, orders the loads that have a permit and a slot, and requests
+    /// further permits.
+    pub(super) fn dispatch_work(&mut self, now: Timestamp) {
         self.start_ready();
         if !self.leased || !self.target_up {
             return;
         }
         self.order_loads(now);
-        self.ask_permits(now);
+        self.request_permits(now);
     }
 
     fn start_ready(&mut self) {
@@ -57,13 +58,13 @@
         }
     }
 
-    fn ask_permits(&mut self, now: Timestamp) {
-        let room = self.residents.loadable();
-        // More requests than the engine can load at once: only the broker, which sees those of all
-        // agents, can tell which of them goes first.
-        while self.loads.outstanding() < PERMIT_LIMIT.min(room) {
-            let Some((key, urgency)) = self.loads.next_unasked(now) else { return };
-            self.loads.ask(&key);
+    fn request_permits(&mut self, now: Timestamp) {
+        let loadable = self.residents.loadable();
+        // Requests more permits than the engine can load at once, because only the broker, which sees
+        // the requests of all agents, can order them by urgency.
+        while self.loads.outstanding() < PERMIT_LIMIT.min(loadable) {
+            let Some((key, urgency)) = self.loads.next_unrequested(now) else { return };
+            self.loads.mark_requested(&key);
             self.actions.push(AgentAction::AskPermit { key, urgency });
         }
     }
--- a/crates/core/src/agent/events.rs
+++ b/crates/core/src/agent/events.rs
@@ -1,4 +1,4 @@
-//! What an agent's state machine takes in and gives out.
+//! Events and actions of an agent's state machine.
 
 use crate::{
     ids::{AdapterKey, CallerName, ConfigRevision},
@@ -11,22 +11,22 @@
 /// Number of an offer, unique in one agent process.
 pub type WorkId = u64;
 
-/// What the decisions need to know of an offer.
+/// The properties of an offer that the agent's decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OfferSummary {
-    /// The agent's number for it.
+    /// Number that the agent gave it.
     pub work: WorkId,
     /// What to run.
     pub item: WorkItem,
     /// Whether running it twice does no harm.
     pub idempotent: bool,
-    /// Importance.
+    /// Priority that the entry sent.
     pub priority: Priority,
-    /// Who asks.
+    /// Name of the caller.
     pub caller: CallerName,
-    /// The caller's weight.
+    /// The caller's weight in fair queueing.
     pub share: u32,
-    /// Time until the deadline.
+    /// Time from receipt until the deadline.
     pub time_left: Duration,
     /// Configuration revision of the sender.
     pub revision: ConfigRevision,
@@ -39,14 +39,14 @@
     }
 }
 
-/// How a load order ended.
+/// Result of a load order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadResult {
     /// The adapter is resident.
     Loaded,
     /// The engine could not load it.
     Failed,
-    /// The weight store refused for now.
+    /// The weight store is busy; the load may be tried again later.
     StoreBusy,
 }
 
@@ -57,9 +57,9 @@
     Offered(Box<OfferSummary>),
     /// The entry releases a reserved request.
     Released(WorkId),
-    /// The entry or its caller went away.
+    /// The entry has closed the stream, or its caller has left.
     Cancelled(WorkId),
-    /// The target's part of a request has ended, however it did.
+    /// The request no longer runs at the target, whether it succeeded or failed.
     Finished {
         /// The request.
         work: WorkId,
@@ -68,63 +68,63 @@
     },
     /// The engine refused a request because it does not hold the adapter.
     AdapterMissing(WorkId),
-    /// A load may be ordered.
+    /// The broker has granted a load permit for this adapter.
     LoadPermitted(AdapterKey),
-    /// A load order ended.
+    /// A load order has ended.
     LoadEnded {
         /// The adapter.
         key: AdapterKey,
-        /// How it ended.
+        /// Result of the load.
         result: LoadResult,
         /// Time that it took.
         took: Duration,
     },
-    /// An evict order ended.
+    /// An eviction order has ended.
     EvictEnded {
         /// The adapter.
         key: AdapterKey,
-        /// Whether the engine has let go of it.
+        /// Whether the engine has unloaded it.
         evicted: bool,
     },
-    /// The engine's own list of what it holds.
+    /// The engine's own list of its loaded adapters.
     Inventory(Vec<AdapterKey>),
-    /// The engine came back empty.
+    /// The engine has restarted and holds no adapters.
     TargetRestarted,
     /// Whether the target answers.
     TargetUp(bool),
-    /// The target turned a request away and wants none for so long.
-    TargetRests(Duration),
+    /// The target refused a request and asked for a backoff of this length.
+    TargetBacksOff(Duration),
     /// Whether this process holds the lease of its target.
     LeaseHeld(bool),
-    /// A configuration is in force.
+    /// A configuration has come into force.
     Configured {
         /// Its revision.
         revision: ConfigRevision,
         /// Requests that may wait at one target.
         queue_limit: u32,
     },
-    /// The process was told to stop.
+    /// The process has received a signal to stop.
     Stopping,
-    /// Time has passed.
+    /// Periodic timer for deadlines and retries.
     Tick,
 }
 
 /// Actions of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
-    /// Tell the entry that the request has a place.
+    /// Notify the entry that the request is accepted.
     Accept {
         /// The request.
         work: WorkId,
     },
-    /// Tell the entry that the request was not run, and forget it.
+    /// Notify the entry that the request was not run, and drop it.
     Refuse {
         /// The request.
         work: WorkId,
-        /// Why.
+        /// Reason, and when to retry.
         refusal: Refusal,
     },
-    /// Hand the request to the target.
+    /// Send the request to the target.
     Start {
         /// The request.
         work: WorkId,
@@ -136,14 +136,14 @@
         /// The request.
         work: WorkId,
     },
-    /// Ask for a load permit, or tell that its urgency has changed.
+    /// Request a load permit from the broker, or update the urgency of an earlier request.
     AskPermit {
         /// The adapter.
         key: AdapterKey,
-        /// How much it is wanted.
+        /// Urgency of the load.
         urgency: LoadUrgency,
     },
-    /// Take back a request for a permit: nobody waits for the adapter any more.
+    /// Cancel a permit or a request for one: no work waits for the adapter any more.
     DropPermit {
         /// The adapter.
         key: AdapterKey,
--- a/crates/core/src/agent/loads.rs
+++ b/crates/core/src/agent/loads.rs
@@ -1,4 +1,4 @@
-//! Adapters that accepted work waits for: one load, many waiters.
+//! Pending adapter loads: one load for all requests that wait for the same adapter.
 
 use crate::{
     agent::events::LoadResult,
@@ -8,26 +8,26 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// First guess of the time that a load takes, until loads have been seen.
+/// Estimate of a load's duration until the first load has ended.
 const LOAD_TIME_GUESS: Duration = Duration::from_millis(800);
 /// Loads of one adapter that may fail before its waiters are refused.
 const ATTEMPT_LIMIT: u32 = 2;
 /// Pause after a failed load.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after the weight store refused; doubled with each refusal in a row.
+/// Pause after the weight store was busy; doubled with each further refusal of the same load.
 const BUSY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause after refusals.
+/// Upper bound of that pause.
 const BUSY_PAUSE_LIMIT: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum LoadPhase {
-    /// Not asked for, or to be asked for again at this time.
+    /// No permit is requested; one may be requested from this time on.
     Wanted(Timestamp),
-    /// A permit is asked for.
-    Asked,
+    /// A permit is requested and not granted yet.
+    PermitRequested,
     /// A permit is held.
     Permitted,
-    /// The engine loads it since this time.
+    /// The engine was ordered to load it at this time.
     Started(Timestamp),
 }
 
@@ -41,7 +41,7 @@
     refusals: u32,
 }
 
-/// All wanted loads.
+/// All loads that are wanted or under way.
 #[derive(Debug)]
 pub struct LoadTable {
     loads: HashMap<AdapterKey, LoadRecord>,
@@ -66,21 +66,21 @@
         self.loads.keys()
     }
 
-    /// Permits asked for or held, and loads under way.
+    /// Permits requested or held, and loads under way.
     pub fn outstanding(&self) -> usize {
         let waits = |load: &&LoadRecord| matches!(load.phase, LoadPhase::Wanted(_));
         self.loads.len() - self.loads.values().filter(waits).count()
     }
 
-    /// Loads that the engine is at.
+    /// Loads under way at the engine.
     pub fn started(&self) -> usize {
         let started = |load: &&LoadRecord| matches!(load.phase, LoadPhase::Started(_));
         self.loads.values().filter(started).count()
     }
 
-    /// Adds a waiter. Returns the new urgency if a permit is already asked for, so that the broker
-    /// learns of it.
-    pub fn want(
+    /// Adds a waiter. Returns the new urgency if a permit is already requested, so that the broker can
+    /// be updated.
+    pub fn request(
         &mut self,
         key: &AdapterKey,
         priority: Priority,
@@ -100,12 +100,12 @@
         });
         load.waiters += 1;
         load.priority = load.priority.min(priority);
-        (load.phase == LoadPhase::Asked).then(|| urgency(load, now))
+        (load.phase == LoadPhase::PermitRequested).then(|| urgency(load, now))
     }
 
-    /// Drops a load that nobody waits for any more, unless the engine is already at it. True if a
-    /// permit was asked for or held.
-    pub fn unwant(&mut self, key: &AdapterKey) -> bool {
+    /// Drops a load that has no waiters any more, unless the engine has started it. Returns whether a
+    /// permit was requested or held.
+    pub fn cancel(&mut self, key: &AdapterKey) -> bool {
         let Some(phase) = self.loads.get(key).map(|load| load.phase) else { return false };
         if matches!(phase, LoadPhase::Started(_)) {
             return false;
@@ -115,24 +115,24 @@
         !matches!(phase, LoadPhase::Wanted(_))
     }
 
-    /// The most urgent load that no permit was asked for.
-    pub fn next_unasked(&self, now: Timestamp) -> Option<(AdapterKey, LoadUrgency)> {
+    /// The most urgent load for which no permit is requested and none was refused too recently.
+    pub fn next_unrequested(&self, now: Timestamp) -> Option<(AdapterKey, LoadUrgency)> {
         let due = |load: &LoadRecord| matches!(load.phase, LoadPhase::Wanted(at) if at <= now);
-        let unasked = self.loads.iter().filter(|(_, load)| due(load));
-        let urgent = unasked.max_by(|(a_key, a), (b_key, b)| {
+        let due_loads = self.loads.iter().filter(|(_, load)| due(load));
+        let urgent = due_loads.max_by(|(a_key, a), (b_key, b)| {
             urgency(a, now).cmp(&urgency(b, now)).then_with(|| b_key.cmp(a_key))
         });
         urgent.map(|(key, load)| (key.clone(), urgency(load, now)))
     }
 
-    /// Notes that a permit was asked for.
-    pub fn ask(&mut self, key: &AdapterKey) {
-        self.set_phase(key, LoadPhase::Asked);
+    /// Records that a permit was requested.
+    pub fn mark_requested(&mut self, key: &AdapterKey) {
+        self.set_phase(key, LoadPhase::PermitRequested);
     }
 
-    /// Notes that a permit was granted. One for a load that is no longer wanted lapses.
+    /// Records that a permit was granted. A permit for a load that is no longer wanted is ignored.
     pub fn permit(&mut self, key: &AdapterKey) {
-        if self.loads.get(key).is_some_and(|load| load.phase == LoadPhase::Asked) {
+        if self.loads.get(key).is_some_and(|load| load.phase == LoadPhase::PermitRequested) {
             self.set_phase(key, LoadPhase::Permitted);
         }
     }
@@ -143,19 +143,20 @@
         permitted.map(|(key, _)| key).min().cloned()
     }
 
-    /// Notes that the engine was ordered to load.
+    /// Records that the engine was ordered to load.
     pub fn start(&mut self, key: &AdapterKey, now: Timestamp) {
         self.set_phase(key, LoadPhase::Started(now));
     }
 
-    /// Ends a load that succeeded.
+    /// Removes a load that succeeded, and records its duration.
     pub fn loaded(&mut self, key: &AdapterKey, took: Duration) {
         self.loads.remove(key);
         self.counter += 1;
         self.load_time.record(took);
     }
 
-    /// Plans another attempt after a failure; true if the waiters are to be refused instead.
+    /// Schedules another attempt after a failure. Returns true if the attempts are used up and the
+    /// waiters are to be refused.
     pub fn failed(&mut self, key: &AdapterKey, result: LoadResult, now: Timestamp) -> bool {
         let Some(load) = self.loads.get_mut(key) else { return false };
         let pause = if result == LoadResult::StoreBusy {
@@ -174,27 +175,28 @@
         true
     }
 
-    /// Forgets loads under way, as after an engine's restart; waiters want them again.
+    /// Drops loads under way, as after an engine's restart; the caller requests them again.
     pub fn forget_started(&mut self) {
         self.loads.retain(|_, load| !matches!(load.phase, LoadPhase::Started(_)));
         self.counter += 1;
     }
 
-    /// Mean time of a load.
+    /// Mean duration of a load.
     pub fn load_time(&self) -> Duration {
         self.load_time.read()
     }
 
-    /// Expected wait until an adapter that is asked for now is loaded.
+    /// Expected wait until an adapter that is requested now is loaded.
     pub fn expected_wait(&self, load_limit: usize, now: Timestamp) -> Duration {
         let load_time = self.load_time.read();
         let oldest = self.loads.values().map(|load| now.saturating_sub(load.wanted)).max();
         let rounds = self.loads.len() / load_limit.max(1);
-        // A load that has waited long shows a shortage of permits that the queue here does not.
+        // A load that has waited long indicates a shortage of permits, which the length of this queue
+        // does not show.
         load_time.mul_f64(1.0 + rounds as f64).max(oldest.unwrap_or_default())
     }
 
-    /// Expected wait for one adapter, which may be on its way.
+    /// Expected wait for one adapter, whose load may be pending or under way.
     pub fn expected_wait_of(
         &self,
         key: &AdapterKey,
--- a/crates/core/src/agent/queue.rs
+++ b/crates/core/src/agent/queue.rs
@@ -1,4 +1,4 @@
-//! Accepted work that waits for its adapter or a batch place, bounded by admission.
+//! Queue of accepted work that waits for its adapter or a batch slot; admission bounds its length.
 
 use crate::{
     agent::events::{OfferSummary, WorkId},
@@ -20,7 +20,7 @@
 }
 
 impl QueuedWork {
-    /// Takes what the order depends on from an offer.
+    /// Copies the fields of an offer that the queue's order depends on.
     pub fn new(offer: &OfferSummary) -> Self {
         Self {
             work: offer.work,
@@ -47,19 +47,19 @@
 }
 
 impl WorkQueue {
-    /// Adds work at its caller's end.
+    /// Adds work behind all other work of its caller and priority.
     pub fn push(&mut self, mut work: QueuedWork) {
         work.order = self.next_order;
         self.next_order += 1;
         self.waiting.push(work);
     }
 
-    /// Removes work, if it waits.
+    /// Removes work, if it is in the queue.
     pub fn remove(&mut self, work: WorkId) {
         self.waiting.retain(|waiting| waiting.work != work);
     }
 
-    /// Takes the next work that `can_start`.
+    /// Removes and returns the next work for which `can_start` is true.
     pub fn pop(&mut self, can_start: impl Fn(&WorkItem) -> bool) -> Option<WorkId> {
         let ready = self.waiting.iter().enumerate().filter(|(_, work)| can_start(&work.item));
         let (index, _) = ready.min_by(|(_, a), (_, b)| self.compare(a, b))?;
@@ -81,7 +81,7 @@
             .then(a.order.cmp(&b.order))
     }
 
-    // A caller that was idle starts at the floor, so that it cannot save up claims to the target.
+    // A caller that was idle starts at the floor, so that idle time earns it no credit.
     fn virtual_time(&self, caller: &CallerName) -> f64 {
         self.virtual_times.get(caller).copied().unwrap_or(0.0).max(self.virtual_floor)
     }
--- a/crates/core/src/agent/residency.rs
+++ b/crates/core/src/agent/residency.rs
@@ -1,4 +1,4 @@
-//! Which adapters the engine holds, who pins them, and which one to evict next.
+//! Adapters that the engine holds, their pins, and the choice of eviction victims.
 
 use crate::{
     demand::DecayedCount,
@@ -6,17 +6,18 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Time in which the demand for an adapter falls to half. The adapters that compete for an engine's
-/// last slots are asked for about once a minute, so a shorter memory could not tell them apart; a
-/// sudden favourite outranks them within seconds all the same. See docs/design/eviction.md.
+/// Half-life of the demand for an adapter. The adapters that compete for an engine's last slots are
+/// requested about once a minute, so a shorter half-life could not rank them; an adapter that
+/// suddenly becomes popular still outranks them within seconds. See docs/design/eviction.md.
 const DEMAND_HALF_LIFE: Duration = Duration::from_mins(5);
 /// Time after a load in which an adapter counts as fresh.
-const FRESH_TIME: Duration = Duration::from_secs(5);
-/// Demand added to a fresh adapter: two adapters of equal demand must not push each other out.
+const FRESH_PERIOD: Duration = Duration::from_secs(5);
+/// Demand added to a fresh adapter, so that two adapters of equal demand do not evict each other in
+/// turn.
 const FRESH_BONUS: f64 = 0.5;
-/// Time within which loading an evicted adapter again counts as thrash.
-const THRASH_TIME: Duration = Duration::from_secs(10);
-/// Adapters whose demand is remembered while they are not resident.
+/// Time after an eviction within which loading the adapter again counts as thrash.
+const THRASH_WINDOW: Duration = Duration::from_secs(10);
+/// Adapters whose demand is kept in memory before those of little demand are dropped.
 const MEMORY_LIMIT: usize = 4_096;
 
 /// How a victim is chosen.
@@ -24,7 +25,7 @@
 pub enum EvictionPolicy {
     /// The least recently used.
     Lru,
-    /// The least worth: decayed demand, more for fresh copies.
+    /// The adapter of least worth: its decayed demand, plus a bonus if it was loaded recently.
     #[default]
     Worth,
 }
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The policy's name.
+    /// The name that [`EvictionPolicy::parse`] reads.
     pub fn name(self) -> &'static str {
         match self {
             Self::Lru => "lru",
@@ -80,7 +81,7 @@
     }
 }
 
-/// The engine's slots, as ordered by this agent.
+/// The engine's adapter slots, as this agent has ordered them to be filled.
 #[derive(Debug)]
 pub struct ResidentTable {
     slots: usize,
@@ -106,17 +107,17 @@
         }
     }
 
-    /// Grows with each change of the ready set.
+    /// Counter that grows with each change of the set of ready adapters.
     pub fn counter(&self) -> u64 {
         self.counter
     }
 
-    /// Loads of adapters that had been evicted within the last few seconds.
+    /// Number of loads of adapters that had been evicted less than `THRASH_WINDOW` before.
     pub fn thrash(&self) -> u64 {
         self.thrash
     }
 
-    /// Evictions ordered.
+    /// Number of evictions ordered.
     pub fn evictions(&self) -> u64 {
         self.evictions
     }
@@ -152,12 +153,12 @@
         keys
     }
 
-    /// Requests that hold `key`.
+    /// Number of requests that pin `key`.
     pub fn pins(&self, key: &AdapterKey) -> u32 {
         self.memory.get(key).map_or(0, |memory| memory.pins)
     }
 
-    /// Holds `key` for one accepted request and counts its demand.
+    /// Pins `key` for one accepted request and counts its demand.
     pub fn pin(&mut self, key: &AdapterKey, now: Timestamp) {
         let memory = self.memory.entry(key.clone()).or_default();
         memory.pins += 1;
@@ -165,21 +166,21 @@
         memory.used = now;
     }
 
-    /// Lets go of `key` for one request.
+    /// Releases one request's pin of `key`.
     pub fn unpin(&mut self, key: &AdapterKey) {
         if let Some(memory) = self.memory.get_mut(key) {
             memory.pins = memory.pins.saturating_sub(1);
         }
     }
 
-    /// Notes that `key` was just used.
+    /// Records that `key` was used at `now`.
     pub fn touch(&mut self, key: &AdapterKey, now: Timestamp) {
         if let Some(memory) = self.memory.get_mut(key) {
             memory.used = now;
         }
     }
 
-    /// Slots that loads have taken or could take: all but those of pinned adapters.
+    /// Number of slots that loads have taken or could take: all but those of pinned adapters.
     pub fn loadable(&self) -> usize {
         let held = |(key, slot): &(&AdapterKey, &SlotRecord)| {
             slot.phase == SlotPhase::Ready && self.pins(key) > 0
@@ -187,8 +188,8 @@
         self.slots.saturating_sub(self.residents.iter().filter(held).count())
     }
 
-    /// Demand for the adapter that would go to make room for another: 0 if a slot is free, `None` if
-    /// all are pinned.
+    /// Lowest demand among the adapters that could be evicted: 0 if a slot is free, `None` if all are
+    /// pinned.
     pub fn victim_demand(&self, now: Timestamp) -> Option<f64> {
         if self.residents.len() < self.slots {
             return Some(0.0);
@@ -197,13 +198,13 @@
         self.evictable().map(demand).min_by(f64::total_cmp)
     }
 
-    /// Takes a free slot to load `key`; false if none is free.
+    /// Takes a free slot to load `key`; false if none is free or the adapter has a slot already.
     pub fn take_slot(&mut self, key: &AdapterKey, now: Timestamp) -> bool {
         if self.residents.len() >= self.slots || self.residents.contains_key(key) {
             return false;
         }
         if let Some(evicted) = self.memory.get(key).and_then(|memory| memory.evicted)
-            && now.saturating_sub(evicted) < THRASH_TIME
+            && now.saturating_sub(evicted) < THRASH_WINDOW
         {
             self.thrash += 1;
         }
@@ -212,7 +213,7 @@
         true
     }
 
-    /// Ends a load; a failed one frees its slot.
+    /// Records the end of a load; a failed load frees its slot.
     pub fn load_ended(&mut self, key: &AdapterKey, loaded: bool, now: Timestamp) {
         let Some(slot) = self.residents.get_mut(key) else { return };
         if slot.phase != SlotPhase::Loading {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Chooses a victim and marks it as going; `None` if all are pinned.
+    /// Chooses a victim and marks it as being evicted; `None` if all are pinned.
     pub fn begin_evict(&mut self, now: Timestamp) -> Option<AdapterKey> {
         let key = self
             .evictable()
@@ -243,7 +244,7 @@
         Some(key)
     }
 
-    /// Ends an eviction. If the engine kept the adapter, it is ready again.
+    /// Records the end of an eviction. If the engine kept the adapter, it is ready again.
     pub fn evict_ended(&mut self, key: &AdapterKey, evicted: bool) {
         let Some(slot) = self.residents.get_mut(key) else { return };
         if slot.phase != SlotPhase::Evicting {
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Takes the engine's own list as true for all that this agent has no order under way for.
-    pub fn adopt(&mut self, held: Vec<AdapterKey>, now: Timestamp) {
+    /// Updates the table from the engine's own list, except for adapters with an order under way.
+    pub fn reconcile(&mut self, held: Vec<AdapterKey>, now: Timestamp) {
         let before = self.ready_keys();
         self.residents.retain(|key, slot| slot.phase != SlotPhase::Ready || held.contains(key));
         for key in held {
@@ -270,15 +271,15 @@
         }
     }
 
-    /// Forgets that `key` is resident.
-    pub fn lose(&mut self, key: &AdapterKey) {
+    /// Removes `key` if it is ready: the engine reported that it does not hold it.
+    pub fn mark_missing(&mut self, key: &AdapterKey) {
         if self.is_ready(key) {
             self.residents.remove(key);
             self.counter += 1;
         }
     }
 
-    /// Forgets everything resident, as after an engine's restart.
+    /// Removes all residents, as after an engine's restart.
     pub fn clear(&mut self) {
         self.residents.clear();
         self.counter += 1;
@@ -297,13 +298,13 @@
             EvictionPolicy::Lru => memory.used.as_secs_f64(),
             EvictionPolicy::Worth => {
                 let loaded = self.residents.get(key).map_or(Duration::ZERO, |slot| slot.loaded);
-                let fresh = now.saturating_sub(loaded) < FRESH_TIME;
+                let fresh = now.saturating_sub(loaded) < FRESH_PERIOD;
                 memory.demand.read(now) + if fresh { FRESH_BONUS } else { 0.0 }
             }
         }
     }
 
-    // Without a bound, the demand of every adapter ever seen would stay: 80,000 of them.
+    // Without a bound, the demand of every adapter ever requested would stay in memory: 80,000 of them.
     fn prune_memory(&mut self, now: Timestamp) {
         if self.memory.len() <= MEMORY_LIMIT {
             return;
--- a/crates/core/tests/core/agent.rs
+++ b/crates/core/tests/core/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's state machine.
+//! Tests of the agent's state machine.
 
 mod history;
 
@@ -47,7 +47,7 @@
     }
 }
 
-struct Admission {
+struct RefusalCase {
     name: &'static str,
     prepare: fn(&mut AgentState),
     change: fn(&mut OfferSummary),
@@ -57,34 +57,34 @@
 #[test]
 fn offers_that_cannot_be_served_are_refused_at_once() {
     let cases = [
-        Admission {
+        RefusalCase {
             name: "stopping",
             prepare: |state| drop(state.handle(AgentEvent::Stopping, Duration::ZERO)),
             change: |_| {},
             reason: RefusalReason::Leaving,
         },
-        Admission {
+        RefusalCase {
             name: "lease lost",
             prepare: |state| drop(state.handle(AgentEvent::LeaseHeld(false), Duration::ZERO)),
             change: |_| {},
             reason: RefusalReason::NoLease,
         },
-        Admission {
+        RefusalCase {
             name: "engine down",
             prepare: |state| drop(state.handle(AgentEvent::TargetUp(false), Duration::ZERO)),
             change: |_| {},
             reason: RefusalReason::TargetDown,
         },
-        Admission {
-            name: "engine at rest",
+        RefusalCase {
+            name: "engine backs off",
             prepare: |state| {
-                let rests = AgentEvent::TargetRests(Duration::from_secs(3));
-                drop(state.handle(rests, Duration::ZERO));
+                let backoff = AgentEvent::TargetBacksOff(Duration::from_secs(3));
+                drop(state.handle(backoff, Duration::ZERO));
             },
             change: |_| {},
             reason: RefusalReason::TargetDown,
         },
-        Admission {
+        RefusalCase {
             name: "another base model",
             prepare: |_| {},
             change: |offer| {
@@ -92,7 +92,7 @@
             },
             reason: RefusalReason::WrongTarget,
         },
-        Admission {
+        RefusalCase {
             name: "older configuration",
             prepare: |state| {
                 let configured = AgentEvent::Configured { revision: 5, queue_limit: 8 };
@@ -101,7 +101,7 @@
             change: |offer| offer.revision = 4,
             reason: RefusalReason::ConfigBehind,
         },
-        Admission {
+        RefusalCase {
             name: "no time left, adapter resident",
             prepare: |state| {
                 drop(state.handle(AgentEvent::Inventory(vec![key(1)]), Duration::ZERO));
@@ -109,7 +109,7 @@
             change: |offer| offer.time_left = Duration::ZERO,
             reason: RefusalReason::TooLate,
         },
-        Admission {
+        RefusalCase {
             name: "deadline before the load could end",
             prepare: |_| {},
             change: |offer| offer.time_left = Duration::from_millis(20),
@@ -130,15 +130,15 @@
     }
 }
 
-/// A busy caller and a quiet one wait for the same full engine. The busy one asked first and often;
-/// the quiet one's request must start as soon as one place is free, not behind the whole queue.
+/// A busy caller and a quiet one wait for the same full engine. The busy one has queued many requests
+/// first; the quiet one's request must start within two free slots, not behind the whole queue.
 #[test]
 fn busy_caller_does_not_starve_a_quiet_one() {
     let mut state = AgentState::new(AgentOptions { batch_limit: 1, ..options() });
     state.handle(AgentEvent::TargetUp(true), Duration::ZERO);
     state.handle(AgentEvent::Inventory(vec![key(1)]), Duration::ZERO);
     let mut started = Vec::new();
-    let mut tell = |state: &mut AgentState, event: AgentEvent| {
+    let mut handle = |state: &mut AgentState, event: AgentEvent| {
         for action in state.handle(event, Duration::ZERO) {
             if let AgentAction::Start { work, .. } = action {
                 started.push(work);
@@ -146,18 +146,18 @@
         }
     };
     for work in 0..10 {
-        tell(&mut state, AgentEvent::Offered(Box::new(offer(work, 1))));
+        handle(&mut state, AgentEvent::Offered(Box::new(offer(work, 1))));
     }
     let quiet = OfferSummary { caller: "guide".into(), ..offer(99, 1) };
-    tell(&mut state, AgentEvent::Offered(Box::new(quiet)));
+    handle(&mut state, AgentEvent::Offered(Box::new(quiet)));
     for work in 0..2 {
-        tell(&mut state, AgentEvent::Finished { work, service_time: Duration::from_millis(1) });
+        handle(&mut state, AgentEvent::Finished { work, service_time: Duration::from_millis(1) });
     }
     assert!(started.contains(&99), "started: {started:?}");
 }
 
-/// The queue is full of lower-priority work when an upper-priority request comes: the newest of the
-/// lower ones is given up on at once, with when to come back, and the upper one gets its place.
+/// The queue is full of lower-priority work when an upper-priority request arrives: the newest of the
+/// lower ones is refused at once with a `retry_after`, and the upper one gets its slot.
 #[test]
 fn upper_priority_takes_the_place_of_lower_work() {
     let mut state = AgentState::new(AgentOptions { batch_limit: 1, ..options() });
@@ -184,11 +184,11 @@
             }
         }
     }
-    assert_eq!(shed, [2], "one lower request makes room");
+    assert_eq!(shed, [2], "one lower request is refused");
 }
 
-/// Two adapters want the last slot in turn. The one that was just loaded is worth more than its
-/// demand for a few seconds, so the other waits or goes elsewhere instead of pushing it out.
+/// Guards against adapters that evict each other in turn: an adapter that was just loaded is worth more
+/// than its demand for a few seconds, so the next load evicts an older adapter of equal demand.
 #[test]
 fn fresh_adapter_outlives_an_older_one_of_equal_demand() {
     let mut state = AgentState::new(options());
@@ -225,8 +225,8 @@
     assert_eq!(evicted, [key(0), key(1), key(2)]);
 }
 
-/// Guards against work that waits at an agent whose target wants no requests, and reaches it all the same; and against a
-/// rest that outlasts the target's restart.
+/// Guards against work that waits at an agent and is sent to its target during the target's backoff, and
+/// against a backoff that is still in force after the target's restart.
 #[test]
 fn a_target_that_backs_off_gets_no_work_until_its_backoff_is_over() {
     let at = Duration::from_secs;
@@ -237,19 +237,22 @@
     state.handle(AgentEvent::Inventory(vec![key(1)]), at(0));
     assert!(state.handle(offered(1), at(0)).iter().any(is_start));
     state.handle(offered(2), at(0));
-    let actions = state.handle(AgentEvent::TargetRests(at(3)), at(1));
-    let told = actions.iter().find_map(|action| match action {
+    let actions = state.handle(AgentEvent::TargetBacksOff(at(3)), at(1));
+    let retry_after = actions.iter().find_map(|action| match action {
         AgentAction::Refuse { work: 2, refusal } => refusal.retry_after,
         _ => None,
     });
-    assert_eq!(told, Some(at(3)), "{actions:?}");
+    assert_eq!(retry_after, Some(at(3)), "{actions:?}");
     let finished = AgentEvent::Finished { work: 1, service_time: at(1) };
     assert!(!state.handle(finished, at(2)).iter().any(is_start));
     assert!(!state.handle(offered(3), at(3)).iter().any(is_start));
-    assert!(state.handle(offered(4), at(4)).iter().any(is_start), "the rest is over");
-    state.handle(AgentEvent::TargetRests(Duration::MAX), at(5));
+    assert!(state.handle(offered(4), at(4)).iter().any(is_start), "the backoff is over");
+    state.handle(AgentEvent::TargetBacksOff(Duration::MAX), at(5));
     state.handle(AgentEvent::TargetRestarted, at(6));
     state.handle(AgentEvent::Finished { work: 4, service_time: at(1) }, at(6));
     state.handle(AgentEvent::Inventory(vec![key(1)]), at(6));
-    assert!(state.handle(offered(5), at(6)).iter().any(is_start), "the next life takes work");
+    assert!(
+        state.handle(offered(5), at(6)).iter().any(is_start),
+        "the next incarnation takes work"
+    );
 }
--- a/crates/core/tests/core/agent/history.rs
+++ b/crates/core/tests/core/agent/history.rs
@@ -1,4 +1,4 @@
-//! Random histories: whatever happens in whatever order, the promises hold.
+//! Random histories of events: the agent's invariants hold in any order of events.
 
 use super::{BATCH, SLOTS, offer, options};
 use plantain_core::{
@@ -17,7 +17,7 @@
 
 const ADAPTERS: u32 = 7;
 
-/// A step of a random history. Numbers choose among what is possible at that point.
+/// A step of a random history. The indices select among the items that are possible at that point.
 #[derive(Clone, Debug)]
 enum Step {
     Offer { adapter: u32, idempotent: bool, priority: usize, millis: u64 },
@@ -57,9 +57,9 @@
     }
 }
 
-/// The world round the state machine: an engine that does what it is told, and entries that note
-/// what they are told.
-struct World {
+/// The environment of the state machine: an engine that carries out its orders, and entries that record
+/// its answers.
+struct Simulation {
     state: AgentState,
     now: Timestamp,
     next: WorkId,
@@ -69,15 +69,15 @@
     running: BTreeSet<WorkId>,
     ended: BTreeSet<WorkId>,
     aborted: BTreeSet<WorkId>,
-    asked: Vec<AdapterKey>,
+    requested: Vec<AdapterKey>,
     loading: BTreeSet<AdapterKey>,
     loaded: BTreeSet<AdapterKey>,
     evicting: Option<AdapterKey>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             state: AgentState::new(options()),
             now: Duration::from_secs(1),
             next: 0,
@@ -87,31 +87,31 @@
             running: BTreeSet::new(),
             ended: BTreeSet::new(),
             aborted: BTreeSet::new(),
-            asked: Vec::new(),
+            requested: Vec::new(),
             loading: BTreeSet::new(),
             loaded: BTreeSet::new(),
             evicting: None,
         };
-        world.event(AgentEvent::TargetUp(true));
-        world
+        simulation.event(AgentEvent::TargetUp(true));
+        simulation
     }
 
     fn event(&mut self, event: AgentEvent) {
         for action in self.state.handle(event, self.now) {
-            self.act(action);
+            self.check_action(action);
         }
         let held = self.loaded.len() + self.loading.len();
         assert!(held <= SLOTS, "{held} adapters in {SLOTS} slots");
         assert!(self.running.len() <= BATCH as usize, "batch overfull");
     }
 
-    fn act(&mut self, action: AgentAction) {
+    fn check_action(&mut self, action: AgentAction) {
         match action {
             AgentAction::Accept { work } => {
                 assert!(self.accepted.insert(work), "accepted twice");
             }
             AgentAction::Refuse { work, .. } => {
-                assert!(!self.running.contains(&work), "refused what runs");
+                assert!(!self.running.contains(&work), "refused running work");
                 assert!(self.ended.insert(work), "ended twice");
             }
             AgentAction::Start { work, .. } => {
@@ -123,15 +123,15 @@
                 assert!(self.running.insert(work), "started twice");
             }
             AgentAction::Abort { work } => {
-                assert!(self.offers[&work].idempotent, "aborted what may not be repeated");
+                assert!(self.offers[&work].idempotent, "aborted non-idempotent work");
                 self.aborted.insert(work);
             }
             AgentAction::AskPermit { key, .. } => {
-                if !self.asked.contains(&key) {
-                    self.asked.push(key);
+                if !self.requested.contains(&key) {
+                    self.requested.push(key);
                 }
             }
-            AgentAction::DropPermit { key } => self.asked.retain(|asked| *asked != key),
+            AgentAction::DropPermit { key } => self.requested.retain(|requested| *requested != key),
             AgentAction::Load { key } => {
                 assert!(!self.loaded.contains(&key), "loaded twice");
                 assert!(self.loading.insert(key), "ordered twice");
@@ -190,8 +190,8 @@
                 }
             }
             Step::Permit(pick) => {
-                if !self.asked.is_empty() {
-                    let key = self.asked.remove(pick % self.asked.len());
+                if !self.requested.is_empty() {
+                    let key = self.requested.remove(pick % self.requested.len());
                     self.event(AgentEvent::LoadPermitted(key));
                 }
             }
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Lets everything end, and checks that it does.
-    fn settle(&mut self) {
+    /// Stops the agent, lets all orders and requests end, and checks that no work is left.
+    fn drain(&mut self) {
         self.event(AgentEvent::TargetUp(true));
         self.event(AgentEvent::Stopping);
         for _ in 0..2_000 {
@@ -263,7 +263,7 @@
             while let Some(work) = choose(&self.running, 0) {
                 self.finish(work);
             }
-            for key in std::mem::take(&mut self.asked) {
+            for key in std::mem::take(&mut self.requested) {
                 self.event(AgentEvent::LoadPermitted(key));
             }
             while let Some(key) = choose(&self.loading, 0) {
@@ -285,18 +285,17 @@
     set.iter().nth(pick % set.len().max(1)).cloned()
 }
 
-/// Whatever happens in whatever order, callers are told the truth once: nothing runs unreleased or
-/// without its adapter, nothing in use is evicted, slots and batch are never overfull, and every
-/// accepted offer ends exactly once.
+/// For any order of events: no request runs unreleased or without its adapter, no adapter in use is
+/// evicted, slots and batch are never overfull, and every accepted offer ends exactly once.
 #[test]
-fn any_history_keeps_the_promises() {
+fn any_history_keeps_the_invariants() {
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
     fn property(steps: Vec<Step>) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.apply(step);
+            simulation.apply(step);
         }
-        world.settle();
+        simulation.drain();
     }
     QuickCheck::new().tests(400).quickcheck(property as fn(Vec<Step>));
 }
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -141,7 +141,7 @@
     for number in 0..QUARANTINE_CRASHES {
         sender.record_crash(&incarnation(number), &[poll], NOW + Duration::from_secs(2));
     }
-    assert!(sender.is_quarantined(poll), "the teller itself has no poll that ended");
+    assert!(sender.is_quarantined(poll), "no poll has completed at the sender");
     receiver.take_report(&report(&sender), NOW + Duration::from_secs(3));
     assert!(!receiver.is_quarantined(poll));
     sender.take_report(&report(&receiver), NOW + Duration::from_secs(3));
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -213,7 +213,7 @@
             warn!(self.context.logger, "target wants no requests"; "step" => "run",
                 "peer" => %self.context.settings.target,
                 "for_ms" => u64::try_from(rest.as_millis()).unwrap_or(u64::MAX));
-            let event = AgentEvent::TargetRests(rest);
+            let event = AgentEvent::TargetBacksOff(rest);
             let _ = self.context.commands.send(AgentCommand::Event(event)).await;
         }
         let result = match &self.offer.work {
