--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -155,7 +155,7 @@
         self.leased
     }
 
-    /// Whether the target answered its last health check.
+    /// Whether the target is known to be up.
     pub fn is_target_up(&self) -> bool {
         self.target_up
     }
@@ -379,7 +379,8 @@
     }
 
     /// Refuses accepted work that has passed its deadline or whose reservation has expired. It was never
-    /// sent to the target, so it is certain that it did not run.
+    /// sent to the target, so it is certain that it did not run; the early refusal leaves the caller time
+    /// to act.
     fn expire(&mut self, now: Timestamp) {
         let late: Vec<WorkId> = self
             .works
--- a/crates/core/src/agent/events.rs
+++ b/crates/core/src/agent/events.rs
@@ -103,7 +103,7 @@
         /// Requests that may wait at one target.
         queue_limit: u32,
     },
-    /// The process has received a signal to stop.
+    /// The process is shutting down.
     Stopping,
     /// Periodic timer for deadlines and retries.
     Tick,
--- a/crates/core/src/agent/loads.rs
+++ b/crates/core/src/agent/loads.rs
@@ -115,7 +115,7 @@
         !matches!(phase, LoadPhase::Wanted(_))
     }
 
-    /// The most urgent load for which no permit is requested and none was refused too recently.
+    /// The most urgent load with no permit requested, leaving out those that pause after a failure.
     pub fn next_unrequested(&self, now: Timestamp) -> Option<(AdapterKey, LoadUrgency)> {
         let due = |load: &LoadRecord| matches!(load.phase, LoadPhase::Wanted(at) if at <= now);
         let due_loads = self.loads.iter().filter(|(_, load)| due(load));
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions: which target to offer a request to.
+//! The entry's routing decisions: the target to which a request is offered.
 
 pub mod targets;
 
@@ -18,26 +18,27 @@
 };
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-/// Rate, in requests a second, that one preferred target is expected to carry for one adapter
-/// before the next one joins in.
+/// Requests a second for one adapter per preferred target; above that, the next target in order is
+/// preferred too.
 const RATE_PER_PREFERRED: f64 = 4.0;
-/// Preferred targets beyond those that demand asks for, to go to when the first are full or gone.
+/// Preferred targets in addition to those that the demand requires, for when the first ones are full or
+/// gone.
 const SPARE_PREFERRED: usize = 2;
 /// Most preferred targets of one adapter.
 const PREFERRED_LIMIT: usize = 16;
-/// Adapters whose order of preferred targets is kept.
+/// Adapters whose order of preferred targets is cached.
 const ORDER_LIMIT: usize = 8_192;
-/// Share of a load's usual time that each step down the order of preferred targets costs, for a
-/// target that does not hold the adapter. Requests for a rare adapter then meet at one target, and
-/// a second copy is only loaded where the first choice is worse by more than its own noise.
+/// Share of the mean load wait that is added to the cost of a target for each rank in the order of
+/// preferred targets, unless it holds the adapter. So requests for a rare adapter go to one target,
+/// and a second copy is only loaded if the first choice is worse by more than noise.
 const RANK_SHARE: f64 = 0.25;
-/// First guess of the time that a load takes, until targets have reported.
-const USUAL_LOAD_GUESS: Duration = Duration::from_millis(500);
+/// Estimate of the wait for a load until a target has reported.
+const INITIAL_LOAD_WAIT: Duration = Duration::from_millis(500);
 
-/// Time in which the demand that widens the order of preferred targets falls to half.
+/// Half-life of the demand that sets the number of preferred targets.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// Round trips from this entry.
+/// Round-trip times from this entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneRoundTrips {
     /// To its own availability zone.
@@ -65,24 +66,24 @@
     pub region: RegionName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Round trips from it.
+    /// Round-trip times from it to other zones and regions.
     pub round_trips: ZoneRoundTrips,
-    /// How a target is picked.
+    /// Policy that picks a target among candidates.
     pub policy: P,
 }
 
-/// What to find a target for.
+/// A request for which a target is chosen.
 #[derive(Clone, Debug)]
 pub struct RouteQuery<'a> {
     /// What to run.
     pub work: &'a WorkItem,
     /// Targets that already refused or failed this request.
     pub excluded: &'a [TargetName],
-    /// A random number.
+    /// A random number, to break ties.
     pub draw: u64,
 }
 
-/// The target to offer to.
+/// The target that a request is offered to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChoice {
     /// Its name.
@@ -100,7 +101,7 @@
     demand: DecayedCount,
 }
 
-/// State of one entry's decisions.
+/// Routing state of one entry.
 #[derive(Debug)]
 pub struct EntryState<P> {
     options: EntryOptions<P>,
@@ -108,7 +109,7 @@
     targets: TargetTable,
     orders: HashMap<u64, PreferredOrder>,
     budget: RetryBudget,
-    usual_load: RunningMean,
+    mean_load_wait: RunningMean,
 }
 
 impl<P: TargetPolicy> EntryState<P> {
@@ -121,7 +122,7 @@
             targets: TargetTable::default(),
             orders: HashMap::new(),
             budget: RetryBudget::new(preset.retry_ratio),
-            usual_load: RunningMean::new(USUAL_LOAD_GUESS),
+            mean_load_wait: RunningMean::new(INITIAL_LOAD_WAIT),
         }
     }
 
@@ -131,7 +132,7 @@
         self.budget.set_ratio(preset.retry_ratio);
     }
 
-    /// Replaces the known targets; what is known of those that stay is kept.
+    /// Replaces the known targets; the state of those that remain is kept.
     pub fn set_targets(&mut self, records: Vec<TargetRecord>) {
         self.targets.replace(records);
     }
@@ -146,7 +147,7 @@
         &mut self.budget
     }
 
-    /// Chooses a target, or proves that the request was not run because there is none.
+    /// Chooses a target. If there is none, the error proves that the request was not run.
     pub fn choose(
         &mut self,
         query: &RouteQuery<'_>,
@@ -168,13 +169,13 @@
         })
     }
 
-    /// Takes in a report that came with an exchange.
+    /// Applies a report that an agent sent with a frame.
     pub fn apply_report(&mut self, target: &TargetName, report: TargetReport) {
-        self.usual_load.record(report.load_wait);
+        self.mean_load_wait.record(report.load_wait);
         self.targets.apply_report(target, report);
     }
 
-    /// Notes that a request offered to `target` has ended with an answer.
+    /// Records that a request offered to `target` has ended with an answer.
     pub fn offer_answered(&mut self, target: &TargetName) {
         self.budget.record_success();
         if let Some(view) = self.targets.by_name_mut(target) {
@@ -183,14 +184,14 @@
         }
     }
 
-    /// Notes that `target` refused an offer.
+    /// Records that `target` refused an offer.
     pub fn offer_refused(&mut self, target: &TargetName, refusal: &Refusal, now: Timestamp) {
         let Some(view) = self.targets.by_name_mut(target) else { return };
         view.offer_ended();
         match refusal.reason {
-            RefusalReason::Leaving => view.leave(),
-            // The agent answers, at once: after the pause all may ask it, and not only one request first
-            // as after a failure, whose others would be told meanwhile that nobody can take them.
+            RefusalReason::Leaving => view.mark_draining(),
+            // The agent answers quickly, so after the pause all requests may go to it. After a failure only
+            // one request probes the target; the others would be refused meanwhile if it is the only one.
             RefusalReason::TargetDown | RefusalReason::NoLease | RefusalReason::QueueFull => {
                 view.pause(refusal.retry_after, now);
             }
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Notes that an offer to `target` failed, or that its agent could not be reached.
+    /// Records that an offer to `target` failed, or that its agent could not be reached.
     pub fn offer_failed(&mut self, target: &TargetName, now: Timestamp) {
         if let Some(view) = self.targets.by_name_mut(target) {
             view.offer_ended();
@@ -206,7 +207,7 @@
         self.targets.failed(target, now);
     }
 
-    /// Notes that the caller of a request offered to `target` went away.
+    /// Records that the caller of a request offered to `target` has left.
     pub fn offer_dropped(&mut self, target: &TargetName) {
         if let Some(view) = self.targets.by_name_mut(target) {
             view.offer_ended();
@@ -230,13 +231,13 @@
         if !usable.is_empty() {
             return usable;
         }
-        // None of the preferred targets can take it: fall back to every target of the kind.
+        // None of the preferred targets is open: fall back to all targets of the kind.
         let all = self.targets.of_kind(kind).to_vec();
         self.usable(&all, digest, excluded, now)
     }
 
-    /// Targets that may be offered to. Other regions' come in only when this one has none, so that
-    /// regions that lose each other each go on with what they have.
+    /// Targets of `pool` that are open and not excluded. Other regions' targets are used only if this
+    /// region has none, so that regions which lose contact with each other continue on their own.
     fn usable(
         &self,
         pool: &[usize],
@@ -251,13 +252,15 @@
         let open: Vec<usize> = pool.iter().filter(open).copied().collect();
         let own_region =
             |index: &usize| self.targets.view(*index).record.region == self.options.region;
-        let here: Vec<usize> = open.iter().copied().filter(own_region).collect();
-        let chosen = if here.is_empty() { open } else { here };
-        // A target without a report counts as good as the best: it must be asked to become known.
+        let in_region: Vec<usize> = open.iter().copied().filter(own_region).collect();
+        let chosen = if in_region.is_empty() { open } else { in_region };
+        // A target without a report counts as good as the best, because only an offer makes it report.
         let best = chosen.iter().filter_map(|&index| self.targets.view(index).load_wait()).min();
-        let unknown_load = best.unwrap_or(USUAL_LOAD_GUESS);
+        let default_load_wait = best.unwrap_or(INITIAL_LOAD_WAIT);
         let ranked = chosen.into_iter().enumerate();
-        ranked.map(|(rank, target)| self.candidate(target, rank, digest, unknown_load)).collect()
+        ranked
+            .map(|(rank, target)| self.candidate(target, rank, digest, default_load_wait))
+            .collect()
     }
 
     fn candidate(
@@ -265,16 +268,18 @@
         target: usize,
         rank: usize,
         digest: Option<AdapterDigest>,
-        unknown_load: Duration,
+        default_load_wait: Duration,
     ) -> PolicyCandidate {
         let view = self.targets.view(target);
-        let usual_load = self.usual_load.read();
+        let mean_load_wait = self.mean_load_wait.read();
         let rank_wait = match digest {
-            Some(digest) if !view.expects(digest) => usual_load.mul_f64(RANK_SHARE * rank as f64),
+            Some(digest) if !view.has_or_loads(digest) => {
+                mean_load_wait.mul_f64(RANK_SHARE * rank as f64)
+            }
             _ => Duration::ZERO,
         };
         let round_trip = self.round_trip(&view.record) + rank_wait;
-        PolicyCandidate { target, estimate: view.estimate(digest, round_trip, unknown_load) }
+        PolicyCandidate { target, estimate: view.estimate(digest, round_trip, default_load_wait) }
     }
 
     fn round_trip(&self, record: &TargetRecord) -> Duration {
@@ -288,8 +293,8 @@
         }
     }
 
-    /// The preferred targets of an adapter, more of them as its demand grows, and every other
-    /// target known to hold it.
+    /// The preferred targets of an adapter, whose number grows with its demand, and other targets known
+    /// to hold it, at most `PREFERRED_LIMIT` in all.
     fn preferred(
         &mut self,
         kind: &TargetKind,
@@ -307,13 +312,13 @@
         });
         order.demand.record(now);
         if order.generation != generation {
-            // Ordering all regions' targets together would leave some adapters without a preferred
-            // target here, and send their requests abroad while this region has room.
+            // An order over all regions' targets would leave some adapters without a preferred target
+            // in this region, and send their requests to other regions while this one has capacity.
             let region = &self.options.region;
             let all = self.targets.of_kind(kind);
-            let is_here = |index: &&usize| self.targets.view(**index).record.region == *region;
-            let here: Vec<usize> = all.iter().filter(is_here).copied().collect();
-            let nodes = if here.is_empty() { all } else { here.as_slice() };
+            let is_in_region = |index: &&usize| self.targets.view(**index).record.region == *region;
+            let in_region: Vec<usize> = all.iter().filter(is_in_region).copied().collect();
+            let nodes = if in_region.is_empty() { all } else { in_region.as_slice() };
             let nodes = nodes.iter();
             let nodes = nodes.map(|&index| (index, self.targets.view(index).record.name.as_ref()));
             order.order = rendezvous::first_choices(digest, nodes, PREFERRED_LIMIT);
--- a/crates/core/src/entry/targets.rs
+++ b/crates/core/src/entry/targets.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of the targets. All of it may be stale; that costs time, never a promise.
+//! An entry's view of the targets. All of it may be stale, which costs time but not correctness.
 
 use crate::{
     cost::TargetEstimate,
@@ -11,26 +11,26 @@
     time::Duration,
 };
 
-/// First time that a target is left out after a failure; doubled with each failure in a row.
+/// Time for which a target gets no offers after a failure; doubled with each consecutive failure.
 const EJECTION: Duration = Duration::from_millis(500);
-/// Longest time that a target is left out.
+/// Upper bound of that time.
 const EJECTION_LIMIT: Duration = Duration::from_secs(16);
-/// Longest time that a full target is left out.
+/// Longest time for which a target gets no offers after a refusal, whatever `retry_after` it sent.
 const PAUSE_LIMIT: Duration = Duration::from_secs(1);
 /// Assumed batch size of a target that has not reported.
 const BATCH_LIMIT_GUESS: u32 = 8;
 
-/// The view of one target.
+/// An entry's view of one target.
 #[derive(Debug)]
 pub struct TargetView {
-    /// Its announcement.
+    /// The record that its agent announced on the platform.
     pub record: TargetRecord,
     report: TargetReport,
     residents: HashSet<AdapterDigest>,
     loading: HashSet<AdapterDigest>,
     in_flight: u32,
     sent_since_report: u32,
-    leaving: bool,
+    draining: bool,
     failures: u32,
     closed_until: Timestamp,
 }
@@ -38,7 +38,7 @@
 impl TargetView {
     fn new(record: TargetRecord) -> Self {
         Self {
-            leaving: record.leaving,
+            draining: record.leaving,
             record,
             report: TargetReport::default(),
             residents: HashSet::new(),
@@ -50,21 +50,21 @@
         }
     }
 
-    /// Counter of the last resident set seen.
+    /// Counter of the last resident set received; 0 if none.
     pub fn residency(&self) -> u64 {
         self.report.residency
     }
 
-    /// Own requests offered and not yet ended.
+    /// Requests that this entry has offered to it and that have not ended.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether it may be offered to.
+    /// Whether requests may be offered to it.
     pub fn is_open(&self, now: Timestamp) -> bool {
-        // After a failure, one request goes first; the others follow its answer.
+        // After a failure, a single request probes the target; the others wait for its answer.
         let probing = self.failures > 0 && self.in_flight > 0;
-        !self.leaving && now >= self.closed_until && !probing
+        !self.draining && now >= self.closed_until && !probing
     }
 
     /// Whether it is known to hold an adapter.
@@ -72,34 +72,35 @@
         self.residents.contains(&digest)
     }
 
-    /// Time until a target that is left out may be offered to again.
+    /// Time until a closed target may get offers again; `None` if it is not closed or is draining.
     pub fn reopens_in(&self, now: Timestamp) -> Option<Duration> {
         let left = self.closed_until.saturating_sub(now);
-        (!self.leaving && !left.is_zero()).then_some(left)
+        (!self.draining && !left.is_zero()).then_some(left)
     }
 
-    /// Expected wait for a load there, if it has reported.
+    /// Expected wait for a load at the target; `None` if it has not reported.
     pub(crate) fn load_wait(&self) -> Option<Duration> {
         (self.report.batch_limit > 0).then_some(self.report.load_wait)
     }
 
-    /// Whether an adapter is there, or on its way.
-    pub(crate) fn expects(&self, digest: AdapterDigest) -> bool {
+    /// Whether the target holds an adapter or is expected to load it.
+    pub(crate) fn has_or_loads(&self, digest: AdapterDigest) -> bool {
         self.residents.contains(&digest) || self.loading.contains(&digest)
     }
 
-    /// What to expect of it; a target that has not reported is taken to load in `unknown_load` time.
+    /// Estimates the cost of an offer; `default_load_wait` stands in for the load wait of a target that has
+    /// not reported.
     pub(crate) fn estimate(
         &self,
         digest: Option<AdapterDigest>,
         round_trip: Duration,
-        unknown_load: Duration,
+        default_load_wait: Duration,
     ) -> TargetEstimate {
         let reported = self.report.batch_limit > 0;
-        let load_wait = self.load_wait().unwrap_or(unknown_load);
+        let load_wait = self.load_wait().unwrap_or(default_load_wait);
         let load_stall = match digest {
             Some(digest) if self.residents.contains(&digest) => Duration::ZERO,
-            // Half of a load is still to come, on average.
+            // On average, half of a load that is under way is left.
             Some(digest) if self.loading.contains(&digest) => load_wait / 2,
             Some(_) => load_wait + self.report.slot_cost,
             None => Duration::ZERO,
@@ -133,12 +134,13 @@
         if report.residents.take().is_some() {
             self.loading = report.loading.drain(..).collect();
         } else if report.residency != self.report.residency {
-            // The set changed, but this exchange was begun too early to carry it.
+            // The set has changed, but the report lacks it because the entry's counter was current when
+            // it sent the offer. Keep the old counter, so that the next report includes the set.
             report.residency = self.report.residency;
         }
         self.sent_since_report = 0;
         if report.leaving {
-            self.leaving = true;
+            self.draining = true;
         }
         self.report = report;
     }
@@ -147,8 +149,8 @@
         self.failures = 0;
     }
 
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
+    pub(crate) fn mark_draining(&mut self) {
+        self.draining = true;
     }
 
     fn failed(&mut self, now: Timestamp) {
@@ -210,7 +212,7 @@
         Some(&mut self.views[index])
     }
 
-    /// Takes in a report that came with an exchange.
+    /// Applies a report that an agent sent with a frame.
     pub(crate) fn apply_report(&mut self, name: &TargetName, mut report: TargetReport) {
         let Some(&index) = self.by_name.get(name) else { return };
         if let Some(residents) = &mut report.residents {
@@ -220,7 +222,7 @@
         self.views[index].apply_report(report);
     }
 
-    /// Leaves a target out for a while; what it held is unknown when it comes back.
+    /// Closes a target for a time after a failure. Its residents are unknown afterwards.
     pub(crate) fn failed(&mut self, name: &TargetName, now: Timestamp) {
         let Some(&index) = self.by_name.get(name) else { return };
         self.set_residents(index, HashSet::new());
@@ -253,10 +255,10 @@
         self.views = records
             .into_iter()
             .map(|record| match old.remove(&record.name) {
-                // The same process at the same place: keep what is known of it. A target that was
-                // seen leaving stays so, however late the list learns of it.
+                // The same process at the same address: keep its state. A target that has announced
+                // that it drains stays draining, however late the platform's list shows it.
                 Some(view) if is_same_process(&view.record, &record) => {
-                    TargetView { leaving: view.leaving || record.leaving, record, ..view }
+                    TargetView { draining: view.draining || record.leaving, record, ..view }
                 }
                 _ => TargetView::new(record),
             })
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's choice of a target.
+//! Tests of the entry's choice of a target.
 
 use plantain_core::{
     entry::{EntryOptions, EntryState, RouteQuery, ZoneRoundTrips},
@@ -58,8 +58,8 @@
     }
 }
 
-/// Entries in different zones with no message between them send a rare adapter's requests to the
-/// same target: one load in place of three.
+/// Entries in different zones send a rare adapter's requests to the same target without exchanging
+/// messages: one load instead of three.
 #[test]
 fn entries_agree_on_the_target_of_a_rare_adapter() {
     let zones = ["kandy", "nuwara", "hatton"];
@@ -86,7 +86,7 @@
 
 /// Removing one target moves only the adapters that preferred it.
 #[test]
-fn few_adapters_move_when_a_target_goes() {
+fn few_adapters_move_when_a_target_is_removed() {
     let names: Vec<String> = (0..12).map(|i| format!("scribe-{i}")).collect();
     let first = |key, count: usize| {
         let nodes = names.iter().take(count).enumerate().map(|(i, name)| (i, name.as_str()));
@@ -96,8 +96,8 @@
     assert_eq!(moved.count(), 0);
 }
 
-/// A target that holds the adapter is chosen although it is not the first by hash, unless its queue
-/// costs more than a load elsewhere.
+/// A target that holds the adapter is chosen although it is not the first choice by hash, unless its
+/// queue costs more than a load at another target.
 #[test]
 fn resident_copy_is_used_until_its_queue_costs_more_than_a_load() {
     let targets: Vec<_> = (0..6).map(|i| target(i, "kandy", "central")).collect();
@@ -125,8 +125,8 @@
     assert_eq!(choose(&mut state, &work(1), 3), "scribe-1");
 }
 
-/// A caller's request never leaves its region while a target there is open, whichever targets of all
-/// regions the hash would put first.
+/// A request never leaves its region while a target there is open, even if the hash ranks targets of
+/// other regions first.
 #[test]
 fn region_serves_itself_with_many_targets_elsewhere() {
     let targets = (0..18).map(|i| target(i, "kandy", ["central", "south", "east"][i % 3]));
@@ -138,10 +138,10 @@
     }
 }
 
-/// A target that refused as leaving stays out for good, however late the platform's list learns of
-/// it; one that failed comes back after a pause that grows.
+/// A target that refused because it drains gets no more offers, even if the platform's list does not
+/// show it as draining yet; one that failed gets offers again after a pause, one request first.
 #[test]
-fn leaving_target_stays_out_and_failed_one_comes_back() {
+fn draining_target_stays_excluded_and_failed_one_reopens() {
     let records: Vec<_> = (0..2).map(|i| target(i, "kandy", "central")).collect();
     let mut state = entry("kandy", records.clone());
     let leaving = Refusal::new(RefusalReason::Leaving);
@@ -155,16 +155,16 @@
     let item = work(1);
     let query = RouteQuery { work: &item, excluded: &[], draw: 0 };
     let proof = state.choose(&query, NOW).expect_err("no target is open");
-    let pause = proof.retry_after().expect("when to come back");
+    let pause = proof.retry_after().expect("a retry_after");
     assert!(state.choose(&query, NOW + pause).is_ok());
-    assert!(state.choose(&query, NOW + pause).is_err(), "only one request tries it first");
+    assert!(state.choose(&query, NOW + pause).is_err(), "only one request probes it");
     state.offer_answered(&"scribe-1".into());
     assert!(state.choose(&query, NOW + pause).is_ok());
 }
 
-/// An agent that has just started refuses a few offers, since it does not know its target yet; then the only
-/// other agent leaves. Callers must not be told that no target can take their requests while one of them
-/// tries the first agent again: it answers, and says at once if its target is still down.
+/// An agent that has just started refuses a few offers because it does not know its target yet, and no other
+/// agent is left. After the pause, requests must not be refused while a single one probes the agent: it
+/// answers, and refuses at once if its target is still down.
 #[test]
 fn a_target_that_was_down_is_open_to_all_again() {
     for reason in [RefusalReason::TargetDown, RefusalReason::NoLease] {
@@ -173,7 +173,7 @@
         let item = work(1);
         let query = RouteQuery { work: &item, excluded: &[], draw: 0 };
         let proof = state.choose(&query, NOW).expect_err("no target is open");
-        let pause = proof.retry_after().expect("when to come back");
+        let pause = proof.retry_after().expect("a retry_after");
         assert!(state.choose(&query, NOW + pause).is_ok());
         assert!(state.choose(&query, NOW + pause).is_ok(), "{reason:?}: the second one too");
     }
@@ -188,7 +188,7 @@
     let item = work(1);
     let query = RouteQuery { work: &item, excluded: &[], draw: 0 };
     let choice = state.choose(&query, NOW).expect("a target");
-    assert_eq!(choice.known_residency, 0, "a set that was not seen must be asked for again");
+    assert_eq!(choice.known_residency, 0, "a set that was not received must be requested again");
 }
 
 #[test]
@@ -202,19 +202,19 @@
     assert!(counts.values().all(|&count| (900..=1_100).contains(&count)), "{counts:?}");
 }
 
-/// Only one of three targets has been asked so far, and it loads fast. The others must not look worse
-/// for want of a report: an adapter goes to its own first choice.
+/// Only one of three targets has reported so far, and it loads fast. The others must not look worse
+/// because they have not reported: an adapter goes to its own first choice.
 #[test]
-fn targets_that_have_not_reported_are_not_shunned() {
+fn targets_that_have_not_reported_are_not_avoided() {
     let mut counts = BTreeMap::new();
     for adapter in 0..300 {
         let targets: Vec<_> = (0..3).map(|i| target(i, "kandy", "central")).collect();
         let mut state = entry("kandy", targets);
-        // The first report holds the agent's own guess, from before its first load.
+        // The first report holds the agent's initial estimate, from before its first load.
         for load_ms in [800, 70] {
             let load_wait = Duration::from_millis(load_ms);
-            let told = TargetReport { load_wait, ..report(vec![], 0) };
-            state.apply_report(&"scribe-0".into(), told);
+            let report = TargetReport { load_wait, ..report(vec![], 0) };
+            state.apply_report(&"scribe-0".into(), report);
         }
         *counts.entry(choose(&mut state, &work(adapter), 0)).or_insert(0) += 1;
     }
