--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast each class of requests uses up its error budget.
+//! Burn rates: how fast each class of requests uses up its error budgets.
 
 use crate::{
     ids::{CallerName, Timestamp},
@@ -10,31 +10,31 @@
     time::Duration,
 };
 
-/// Time that one bucket covers.
+/// Length of one bucket.
 const BUCKET_TIME: Duration = Duration::from_secs(10);
-/// Buckets that are kept: an hour.
+/// Number of buckets kept: one hour.
 const BUCKET_COUNT: usize = 360;
-/// Names whose failures are counted before the least of them are dropped.
+/// Names with a failure count; when they are more, those with the smallest counts are dropped.
 const NAME_LIMIT: usize = 512;
-/// Names that a report shows.
+/// Names in a report, those with the largest counts.
 const SHOWN_NAMES: usize = 10;
 
-/// Windows that a report shows, in seconds.
+/// Lengths of the windows in a report, in seconds.
 pub const BURN_WINDOWS: [u64; 3] = [60, 600, 3_600];
 
-/// What a class of requests is promised.
+/// Service-level objectives of a class of requests.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceObjectives {
-    /// Share of requests that are answered whole.
+    /// Share of requests that get a complete answer.
     pub availability: f64,
-    /// Time to the first byte, in milliseconds.
+    /// Limit of the time to the first byte, in milliseconds.
     pub first_byte_ms: u64,
-    /// Share of answered requests whose first byte comes within it.
+    /// Share of answered requests whose first byte arrives within that limit.
     pub first_byte_share: f64,
-    /// Load stall, in milliseconds.
+    /// Limit of the load stall, in milliseconds.
     pub load_stall_ms: u64,
-    /// Share of answered requests that stall no longer.
+    /// Share of answered requests that stall no longer than that limit.
     pub load_stall_share: f64,
 }
 
@@ -70,30 +70,30 @@
 /// One ended request.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
-    /// Its importance, which is its class.
+    /// Its priority, which is its class.
     pub priority: Priority,
-    /// Who asked.
+    /// Name of the caller.
     pub caller: CallerName,
     /// The adapter or service.
     pub subject: String,
-    /// Why it was not answered whole, if it was not.
+    /// Reason why it got no complete answer; `None` if it got one.
     pub failure: Option<&'static str>,
-    /// Time to the first byte.
+    /// Time until the first byte of the answer.
     pub first_byte: Duration,
     /// Time that it waited for its adapter.
     pub load_stall: Duration,
 }
 
-/// Counts of one class over some time.
+/// Counts of one class within one bucket or window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BurnCounts {
     /// Requests that ended.
     pub ended: u64,
-    /// Those not answered whole.
+    /// Requests without a complete answer.
     pub failed: u64,
-    /// Those answered with a late first byte.
+    /// Answered requests with a late first byte.
     pub late: u64,
-    /// Those answered after a long load stall.
+    /// Answered requests with too long a load stall.
     pub stalled: u64,
 }
 
@@ -106,7 +106,7 @@
         self.stalled += other.stalled;
     }
 
-    /// Burn of each budget: 1 uses it up exactly, 10 ten times as fast.
+    /// Burn rate of each budget: 1 uses it up exactly, 10 uses it up ten times as fast.
     pub fn rates(&self, objectives: &ServiceObjectives) -> BurnRates {
         let answered = self.ended - self.failed;
         BurnRates {
@@ -124,7 +124,7 @@
     bad as f64 / all as f64 / (1.0 - objective)
 }
 
-/// Burn of each budget.
+/// Burn rate of each budget; 0 while there are no requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BurnRates {
     /// Of the availability budget.
@@ -135,7 +135,7 @@
     pub load_stall: f64,
 }
 
-/// What one entry reports.
+/// Burn report of one entry.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BurnReport {
     /// Counts by window in seconds, then by priority.
@@ -164,7 +164,7 @@
 }
 
 impl BurnLedger {
-    /// Takes in one ended request.
+    /// Counts one ended request.
     pub fn record(
         &mut self,
         outcome: &RequestOutcome,
@@ -225,7 +225,7 @@
     }
 }
 
-/// Counts by name that keep only the largest when there are too many names.
+/// Counts by name, bounded by dropping the smallest counts.
 #[derive(Debug, Default)]
 struct NameCounts(HashMap<String, u64>);
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! Configuration: records that operators write, the parts they are kept in, and the indexed form.
+//! Configuration: records that operators write, the parts that store them, and an indexed snapshot.
 //!
 //! The platform holds one small root object. It names the digest of every part and the preset in
-//! force, so that one conditional update of the root accepts any change whole.
+//! force, so that one conditional update of the root applies any change atomically.
 
 pub mod diff;
 pub mod document;
--- a/crates/core/src/config/diff.rs
+++ b/crates/core/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations, for people.
+//! Human-readable differences between two configurations.
 
 use crate::config::document::ConfigDocument;
 use std::{collections::BTreeMap, sync::Arc};
--- a/crates/core/src/config/document.rs
+++ b/crates/core/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The whole configuration in editable form, as the command-line tool works on it.
+//! The complete configuration in the form that the command-line tool edits.
 
 use crate::{
     config::{
@@ -12,21 +12,21 @@
 };
 use std::collections::BTreeMap;
 
-/// Name of the preset that a new configuration starts with.
+/// Name of the preset in a new configuration.
 pub const DEFAULT_PRESET: &str = "ordinary";
 
 /// All records, by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigDocument {
-    /// Adapters.
+    /// Adapters by name.
     pub adapters: BTreeMap<AdapterName, AdapterRecord>,
-    /// Services.
+    /// Services by name.
     pub services: BTreeMap<ServiceName, ServiceRecord>,
-    /// Callers.
+    /// Callers by name.
     pub callers: BTreeMap<CallerName, CallerRecord>,
-    /// Presets.
+    /// Presets by name.
     pub presets: BTreeMap<PresetName, PresetRecord>,
-    /// The preset in force.
+    /// Name of the preset in force.
     pub preset: PresetName,
 }
 
@@ -44,17 +44,17 @@
 }
 
 impl ConfigDocument {
-    /// Gathers the records of all parts.
+    /// Builds a document from the records of all parts.
     pub fn from_parts(preset: PresetName, parts: impl IntoIterator<Item = ConfigPart>) -> Self {
         let mut document = Self { preset, ..Self::default() };
         document.presets.clear();
         for part in parts {
-            document.absorb(part);
+            document.add_part(part);
         }
         document
     }
 
-    fn absorb(&mut self, part: ConfigPart) {
+    fn add_part(&mut self, part: ConfigPart) {
         match part {
             ConfigPart::Adapters(records) => {
                 self.adapters.extend(records.into_iter().map(|r| (r.name.clone(), r)));
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Splits the records into parts; every part is present, if empty.
+    /// Splits the records into parts; every part is present, even if it is empty.
     pub fn to_parts(&self) -> BTreeMap<PartName, ConfigPart> {
         let mut shards: Vec<Vec<AdapterRecord>> = vec![Vec::new(); ADAPTER_PARTS];
         for record in self.adapters.values() {
--- a/crates/core/src/config/edit.rs
+++ b/crates/core/src/config/edit.rs
@@ -1,4 +1,4 @@
-//! Changes that operators make, checked against the whole configuration before it is written.
+//! Changes by operators, validated against the complete configuration before it is written.
 
 use crate::{
     config::{
@@ -9,7 +9,7 @@
 };
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
-/// One change.
+/// One change of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigEdit {
     /// Adds adapters, or versions to adapters that exist; does not change a current version.
@@ -34,7 +34,7 @@
     SwitchPreset(PresetName),
 }
 
-/// Why a change cannot be made.
+/// Message that explains why a change cannot be made.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EditError(String);
 
@@ -57,7 +57,7 @@
 impl std::error::Error for EditError {}
 
 impl ConfigEdit {
-    /// Makes the change in `document`, which is left half changed on an error.
+    /// Applies the change to `document`. After an error the document may be partly changed.
     pub fn apply(&self, document: &mut ConfigDocument) -> Result<(), EditError> {
         match self {
             Self::AddAdapters(records) => add_adapters(document, records),
@@ -158,12 +158,12 @@
 
 fn put_caller(document: &mut ConfigDocument, record: &CallerRecord) -> Result<(), EditError> {
     record.check().map_err(EditError::new)?;
-    let twin = document
+    let duplicate = document
         .callers
         .values()
         .find(|known| known.key_sha256 == record.key_sha256 && known.name != record.name);
-    if let Some(twin) = twin {
-        return Err(EditError(format!("caller `{}` has the same key", twin.name)));
+    if let Some(duplicate) = duplicate {
+        return Err(EditError(format!("caller `{}` has the same key", duplicate.name)));
     }
     document.callers.insert(record.name.clone(), record.clone());
     Ok(())
--- a/crates/core/src/config/parts.rs
+++ b/crates/core/src/config/parts.rs
@@ -13,8 +13,8 @@
 /// Digest of a part's content.
 pub type PartDigest = String;
 
-/// Number of parts that adapters are spread over. At 80,000 adapters a part holds 1,250 records,
-/// some 120 kB of the megabyte that one platform object may hold.
+/// Number of parts that the adapters are distributed over by hash. At 80,000 adapters a part holds
+/// 1,250 records, some 120 kB of the megabyte that one platform object may hold.
 pub const ADAPTER_PARTS: usize = 64;
 /// Name of the part with all services.
 pub const SERVICES_PART: &str = "services";
@@ -23,7 +23,7 @@
 /// Name of the part with all presets.
 pub const PRESETS_PART: &str = "presets";
 
-/// Operations that the root remembers.
+/// Length of [`ConfigRoot::recent`].
 pub const RECENT_OPERATIONS: usize = 32;
 
 /// The root of the configuration: the only object that is ever overwritten.
@@ -31,33 +31,34 @@
 pub struct ConfigRoot {
     /// Grows by one with each accepted change.
     pub revision: ConfigRevision,
-    /// Identifies the change that wrote this root, to settle a lost answer by reading back.
+    /// Identifies the change that wrote this root: a writer whose answer was lost reads the root back to
+    /// learn whether its change was applied.
     pub operation: String,
-    /// The operations before it, newest first, so that a lost answer can still be settled when
-    /// others have written since.
+    /// The operations before it, newest first, so that a writer finds its change even after others have
+    /// written.
     #[serde(default)]
     pub recent: Vec<String>,
-    /// Who made the change, to tell the loser of a race.
+    /// Who made the change; shown to an operator whose concurrent change was rejected.
     pub author: String,
-    /// What the change was, in one line.
+    /// Description of the change, in one line.
     pub summary: String,
-    /// The preset in force.
+    /// Name of the preset in force.
     pub preset: PresetName,
-    /// The content of each part.
+    /// Reference to the current content of each part.
     pub parts: BTreeMap<PartName, PartRef>,
-    /// Part objects that this revision replaced. They stay for readers that still hold the root
-    /// before it; whoever makes the next change deletes them.
+    /// Names of the part objects that this revision replaced. They are kept for readers that still hold
+    /// the previous root; the next change deletes them.
     #[serde(default)]
     pub retired: Vec<String>,
 }
 
-/// Names one content of a part.
+/// Reference to one content of a part.
 ///
-/// The object's name holds the operation that wrote it, so no two operations ever share an object:
-/// deleting a retired one cannot take away what a racing operation is about to name.
+/// The object's name contains the operation that wrote it, so no two operations share an object:
+/// deleting a retired object cannot remove one that a concurrent operation is about to reference.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PartRef {
-    /// Digest of the content, to see whether a change touches it.
+    /// Digest of the content, to detect whether a change affects it.
     pub digest: PartDigest,
     /// Operation that wrote it.
     pub operation: String,
--- a/crates/core/src/config/records.rs
+++ b/crates/core/src/config/records.rs
@@ -1,4 +1,4 @@
-//! Records that operators write.
+//! Configuration records that operators write, and their validation.
 
 use crate::{
     burn::ServiceObjectives,
@@ -10,7 +10,7 @@
 
 /// Largest weight of a cost term in a preset.
 pub const WEIGHT_LIMIT: f64 = 100.0;
-/// Largest share of a caller.
+/// Largest share that a caller may have.
 pub const SHARE_LIMIT: u32 = 1_000;
 /// Longest deadline that a preset may set, in milliseconds.
 pub const DEADLINE_LIMIT_MS: u64 = 600_000;
@@ -25,7 +25,7 @@
     pub name: AdapterName,
     /// The base model that it extends.
     pub base: BaseName,
-    /// Versions that may be asked for, ascending.
+    /// Versions that callers may request, ascending.
     pub versions: Vec<AdapterVersion>,
     /// The version used when a request names none.
     pub current: AdapterVersion,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A caller, known by the hash of its key.
+/// A caller, identified by the hash of its key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerRecord {
@@ -69,9 +69,9 @@
     pub name: CallerName,
     /// SHA-256 of its key, in hexadecimal.
     pub key_sha256: String,
-    /// Its weight against other callers when targets are full.
+    /// Its weight in fair queueing when targets are full.
     pub share: u32,
-    /// The most important priority that it may ask for.
+    /// The highest priority that it may request.
     pub highest_priority: Priority,
 }
 
@@ -90,13 +90,13 @@
     }
 }
 
-/// A rule for some calls of a service; the first rule that matches counts.
+/// A rule for calls of a service; the first rule that matches applies.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRecord {
     /// HTTP method, or `*` for all.
     pub method: String,
-    /// Start of the path below the service.
+    /// Prefix of the path below the service; starts with `/`.
     pub path_prefix: String,
     /// Whether running such a call twice does no harm.
     pub idempotent: bool,
@@ -108,7 +108,7 @@
 pub struct ServiceRecord {
     /// Its name.
     pub name: ServiceName,
-    /// Rules, in order.
+    /// Rules, in the order of matching.
     #[serde(default)]
     pub routes: Vec<RouteRecord>,
 }
@@ -129,8 +129,8 @@
         Ok(())
     }
 
-    /// Whether a call may be repeated. Without a rule, HTTP's own definition of idempotent methods
-    /// decides, so that a forgotten rule errs towards never running a call twice.
+    /// Whether a call may be retried. Without a matching rule, HTTP's definition of idempotent methods
+    /// applies, so that a missing rule does not cause a POST to run twice.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let matches = |route: &&RouteRecord| {
             (route.method == "*" || route.method == method) && path.starts_with(&route.path_prefix)
@@ -142,7 +142,7 @@
     }
 }
 
-/// Weights and limits that hold together, for ordinary days, peaks or maintenance.
+/// A set of weights and limits for one situation, such as normal operation, peaks or maintenance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PresetRecord {
@@ -157,16 +157,16 @@
     /// Requests that may wait at one target, over all priorities.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Time limit of a request that sets none, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Retries allowed for each answered request.
+    /// Retries earned by each answered request, from 0 to 1.
     #[serde(default = "default_retry_ratio")]
     pub retry_ratio: f64,
-    /// The least important priority that is admitted.
+    /// The lowest priority that is admitted.
     #[serde(default = "default_lowest_priority")]
     pub lowest_priority: Priority,
-    /// What each class of requests is promised, for the report on service-level burn.
+    /// Service-level objectives of each class of requests, for the report of burn rates.
     #[serde(default)]
     pub objectives: ServiceObjectives,
 }
@@ -228,7 +228,7 @@
         self.objectives.check()
     }
 
-    /// Deadline of a request that names none.
+    /// Time limit of a request that sets none.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
--- a/crates/core/src/config/snapshot.rs
+++ b/crates/core/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! One revision of the configuration, indexed for requests; unchanged parts are shared.
+//! One revision of the configuration, indexed for lookups; snapshots share unchanged parts.
 
 use crate::{
     config::{
@@ -13,16 +13,16 @@
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Why a model selector names nothing that can run.
+/// Why a model selector cannot be resolved.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ResolveError {
     /// No such adapter.
     UnknownAdapter,
-    /// The adapter has no such version; it has these.
+    /// The adapter has no such version; holds the versions that it has.
     UnknownVersion(Vec<AdapterVersion>),
 }
 
-/// An indexed revision.
+/// An indexed revision of the configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigSnapshot {
     root: ConfigRoot,
@@ -32,7 +32,7 @@
 }
 
 impl ConfigSnapshot {
-    /// Joins a root with all parts that it names; the error names what is missing.
+    /// Joins a root with all parts that it names; the error names a missing part or preset.
     pub fn new(
         root: ConfigRoot,
         parts: BTreeMap<PartName, Arc<ConfigPart>>,
@@ -47,7 +47,7 @@
         Ok(Self { root, parts, adapters, preset })
     }
 
-    /// The snapshot of a system that nobody has configured yet: revision 0.
+    /// The snapshot of a system without configuration: revision 0.
     pub fn empty() -> Self {
         let document = ConfigDocument::default();
         let parts = document.to_parts().into_iter().map(|(k, v)| (k, Arc::new(v))).collect();
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Fixes the version that a request runs on.
+    /// Resolves a selector to the adapter version that a request runs on.
     pub fn resolve(
         &self,
         selector: &ModelSelector,
@@ -135,6 +135,6 @@
     let Some(ConfigPart::Presets(presets)) = parts.get(PRESETS_PART).map(AsRef::as_ref) else {
         return Err(format!("part `{PRESETS_PART}` is missing"));
     };
-    let in_force = presets.iter().find(|preset| preset.name == root.preset);
-    in_force.cloned().ok_or_else(|| format!("preset `{}` is missing", root.preset))
+    let active = presets.iter().find(|preset| preset.name == root.preset);
+    active.cloned().ok_or_else(|| format!("preset `{}` is missing", root.preset))
 }
--- a/crates/core/src/cost.rs
+++ b/crates/core/src/cost.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// Gain, in milliseconds, of joining a batch that is nearly full instead of an idle one. Measured
-/// by the bench; see docs/design/routing.md.
+/// Gain, in milliseconds, of joining a batch that is nearly full instead of an idle one; determined by
+/// the benchmark, see docs/design/routing.md.
 const BATCH_GAIN_MS: f64 = 20.0;
 
-/// Weights of the terms, from the preset in force.
+/// Weights of the cost terms, from the preset in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostWeights {
     /// Weight of the load stall.
@@ -15,14 +15,14 @@
     pub batch: f64,
 }
 
-/// What an entry estimates of a target at the moment of choice.
+/// An entry's estimate of a target when it chooses one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetEstimate {
     /// Expected wait for the adapter.
     pub load_stall: Duration,
-    /// Requests running or waiting there, own offers in flight included.
+    /// Requests running or waiting there, including this entry's offers in flight.
     pub occupied: u32,
-    /// Requests that run at once.
+    /// Requests that the target runs at once.
     pub batch_limit: u32,
     /// Mean time that a request runs.
     pub service_time: Duration,
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -1,4 +1,4 @@
-//! Exponentially decayed counts: how much something was wanted lately.
+//! Exponentially decayed counts, as a measure of recent demand.
 
 use crate::ids::Timestamp;
 use std::time::Duration;
@@ -33,13 +33,13 @@
         now.saturating_sub(self.updated)
     }
 
-    /// The faded count at `now`.
+    /// The decayed count at `now`.
     pub fn read(&self, now: Timestamp) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
         self.value * (-age / self.half_life.as_secs_f64()).exp2()
     }
 
-    /// Requests a second that would hold the count where it is.
+    /// The constant rate, in counts a second, that would keep the count at its present value.
     pub fn rate(&self, now: Timestamp) -> f64 {
         self.read(now) * std::f64::consts::LN_2 / self.half_life.as_secs_f64()
     }
--- a/crates/core/src/entry/targets.rs
+++ b/crates/core/src/entry/targets.rs
@@ -134,8 +134,8 @@
         if report.residents.take().is_some() {
             self.loading = report.loading.drain(..).collect();
         } else if report.residency != self.report.residency {
-            // The set has changed, but the report lacks it because the entry's counter was current when
-            // it sent the offer. Keep the old counter, so that the next report includes the set.
+            // The report answers an offer that carried another counter than the entry has now, so it
+            // lacks the set. Keep the entry's counter, so that the next report includes a changed set.
             report.residency = self.report.residency;
         }
         self.sent_since_report = 0;
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,11 +1,11 @@
-//! Server-sent events of an engine's answer: forwards whole events only, and only those that name
-//! the model that was asked for.
+//! Server-sent events of an engine's answer: only complete lines are forwarded, and only events that
+//! name the requested model.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Largest event; an engine that sends more without a line end is broken.
+/// Largest event in bytes; an engine that sends more without a line end is faulty.
 const EVENT_LIMIT: usize = 1 << 20;
 /// The event that ends an answer.
 const END_MARKER: &[u8] = b"[DONE]";
@@ -13,9 +13,9 @@
 /// Why an answer may not be delivered.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EventError {
-    /// An event names another model, or none.
+    /// An event names another model, given here, or none.
     WrongModel(String),
-    /// An event is not one of the API's.
+    /// An event is not valid JSON, or is too large.
     Malformed(String),
 }
 
@@ -33,7 +33,7 @@
 /// The part of an answer that names its model.
 #[derive(Deserialize)]
 pub struct ModelField<'a> {
-    /// The model; engines that name none are not to be trusted with any.
+    /// The model; empty if the answer names none, which no requested model matches.
     #[serde(borrow, default)]
     pub model: Cow<'a, str>,
 }
@@ -52,12 +52,12 @@
         Self { model, buffer: BytesMut::new(), ended: false }
     }
 
-    /// Whether the end marker has come. An answer that stops without it is incomplete.
+    /// Whether the end marker has arrived. An answer that ends without it is incomplete.
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Takes in bytes as they come and returns the whole lines among them, checked.
+    /// Adds received bytes and returns the complete lines so far, checked.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventError> {
         self.buffer.extend_from_slice(bytes);
         let Some(last) = self.buffer.iter().rposition(|&byte| byte == b'\n') else {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Checks the model of an answer that came whole.
+/// Checks the model of an answer that is not a stream of events.
 pub fn check_answer(model: &str, body: &[u8]) -> Result<(), EventError> {
     let field: ModelField<'_> =
         serde_json::from_slice(body).map_err(|error| EventError::Malformed(error.to_string()))?;
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -1,48 +1,48 @@
 //! Idempotency records: a non-idempotent request with a key is recorded on the platform before it is
-//! offered, so that the caller's own retry, through whichever entry, is the same request.
+//! offered, so that a retry by the caller, through any entry, is recognised as the same request.
 //!
-//! The idea is that of "Reliable Cron across the Planet" (Davidovič and Guliani, acmqueue 2015):
-//! record the launch before it, and fail closed.
+//! This follows "Reliable Cron across the Planet" (Davidovič and Guliani, acmqueue 2015): record the
+//! launch before it happens, and do not launch if that fails.
 
 use crate::ids::CallerName;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Shards that records spread over, each one platform object. Writes a second are bounded by shards
-/// and pace, not by requests.
+/// Number of shards of the records, each one platform object. The number of shards and the interval
+/// between writes bound the writes a second, whatever the number of requests.
 pub const RECORD_SHARDS: u64 = 64;
-/// Time for which a record is kept. A key that comes back later counts as a new request.
+/// Time for which a record is kept. A key that is sent again later counts as a new request.
 pub const RECORD_WINDOW: Duration = Duration::from_mins(15);
-/// Records that one shard may hold: some 100 bytes each, within the megabyte of an object.
+/// Records that one shard may hold: at some 100 bytes each, they fit the megabyte of an object.
 pub const SHARD_LIMIT: usize = 8_000;
 
-/// Hash of a caller, what it calls and its key.
+/// Hash of a caller, the work that it requests, and its idempotency key, in hexadecimal.
 pub type RecordKey = String;
 
-/// Hashes what makes two requests the same one.
+/// Hashes the fields that are equal in all attempts of one request.
 pub fn record_key(caller: &CallerName, work: &str, key: &str) -> RecordKey {
     let text = format!("{caller}\0{work}\0{key}");
     format!("{:032x}", xxh3_128(text.as_bytes()))
 }
 
-/// The shard of a record.
+/// Index of the shard that holds a record.
 pub fn record_shard(key: &RecordKey) -> u64 {
     xxh3_64(key.as_bytes()) % RECORD_SHARDS
 }
 
-/// Who has recorded a key, and when.
+/// The request that has recorded a key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct IdempotencyRecord {
     /// The entry that may run the request.
     pub entry: String,
-    /// Random name of the one request that may.
+    /// Random id of the only request that may run.
     pub operation: String,
-    /// When it was recorded, in milliseconds of Unix time.
+    /// Time at which it was recorded, in milliseconds of Unix time.
     pub inserted_ms: u64,
 }
 
-/// One shard.
+/// One shard of the records, stored as one platform object.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RecordShard {
     records: BTreeMap<RecordKey, IdempotencyRecord>,
@@ -53,7 +53,7 @@
 pub enum RecordChange {
     /// Record a key.
     Insert(RecordKey, IdempotencyRecord),
-    /// Give back a record whose request was provably not run.
+    /// Remove a key whose request was provably not run, if the record is that of this operation.
     Remove(RecordKey, String),
 }
 
@@ -66,19 +66,19 @@
     }
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RecordVerdict {
-    /// The request may run, and only it; or its record is gone.
+    /// After an insert: this request, and no other, may run. After a removal: the record is gone.
     Done,
-    /// Another request has the key.
+    /// Another request has recorded the key; holds its record.
     Taken(IdempotencyRecord),
     /// The shard is full.
     Full,
 }
 
 impl RecordShard {
-    /// Makes a change in memory; writing the shard under its version makes it true.
+    /// Applies a change in memory; it takes effect when the shard is written with a version check.
     pub fn apply(&mut self, change: &RecordChange, now_ms: u64) -> RecordVerdict {
         match change {
             RecordChange::Insert(key, record) => self.record(key, record, now_ms),
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Records held.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no records are held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -109,7 +109,7 @@
     ) -> RecordVerdict {
         self.expire(now_ms);
         match self.records.get(key) {
-            // Our own record, from a write whose answer was lost.
+            // This request's own record, from a write whose answer was lost.
             Some(known) if known.operation == record.operation => RecordVerdict::Done,
             Some(known) => RecordVerdict::Taken(known.clone()),
             None if self.records.len() >= SHARD_LIMIT => RecordVerdict::Full,
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers by which the parts of the system know each other.
+//! Identifier types shared by all parts of the system.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc, time::Duration};
@@ -12,7 +12,7 @@
 pub type AdapterDigest = u64;
 /// Name of a base model that adapters extend.
 pub type BaseName = Arc<str>;
-/// Number drawn at a process's start; a restart is a new one.
+/// Random number that a process draws at its start; it differs after a restart.
 pub type BootId = u64;
 /// Name of a caller, as configured.
 pub type CallerName = Arc<str>;
@@ -41,9 +41,9 @@
 /// One version of one adapter: the unit that engines load and evict.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct AdapterKey {
-    /// The adapter.
+    /// Name of the adapter.
     pub name: AdapterName,
-    /// Its version.
+    /// Version of the adapter.
     pub version: AdapterVersion,
 }
 
@@ -53,7 +53,7 @@
         Self { name: name.into(), version }
     }
 
-    /// Hashes the key; equal in every process and release.
+    /// Hash of the key, equal in every process and release.
     pub fn digest(&self) -> AdapterDigest {
         xxh3_64(self.to_string().as_bytes())
     }
@@ -65,12 +65,12 @@
     }
 }
 
-/// What a caller writes in `model`: an adapter, with or without a version.
+/// Value of the `model` field of a request: an adapter, with or without a version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelSelector {
-    /// The adapter.
+    /// Name of the adapter.
     pub name: AdapterName,
-    /// The version asked for; `None` means the version in force.
+    /// The requested version; `None` means the adapter's current version.
     pub version: Option<AdapterVersion>,
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions of plantainroute as pure state machines: time and randomness come in as arguments.
+//! Decision logic of plantainroute as state machines without I/O: time and randomness are arguments.
 
 pub mod agent;
 pub mod burn;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What is known of a request that did not end with its target's answer.
+//! Outcomes of requests that did not end with an answer of their target.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub enum RefusalReason {
     /// The target or the process is stopping.
     Leaving,
-    /// No queue place is free at this priority.
+    /// No queue slot is free for this priority.
     QueueFull,
     /// The deadline cannot be met.
     TooLate,
@@ -31,7 +31,7 @@
     WrongTarget,
     /// The two ends speak different protocol versions.
     WrongProtocol,
-    /// The target does not answer, or wants no requests now.
+    /// The target does not answer, or asked for a backoff.
     TargetDown,
     /// No target is known, or none could be reached.
     Unreachable,
@@ -39,11 +39,11 @@
     PresetClosed,
     /// The retry budget is used up.
     RetryBudget,
-    /// The entry has as many requests as it may hold.
+    /// The entry is at its limit of concurrent requests.
     EntryBusy,
     /// The agent holds no lease for its target.
     NoLease,
-    /// Targets have ended while they ran this request before.
+    /// The request is quarantined: targets have ended while they ran it.
     HeldBack,
 }
 
@@ -71,8 +71,8 @@
 
 /// Evidence that a request was not run.
 ///
-/// The fields are private: the only ways to make one are the constructors below, each of which
-/// names a situation in which no byte can have reached a target.
+/// The fields are private, so only the constructors below create one, each for a situation in which no
+/// byte can have reached a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NotRunProof {
     reason: RefusalReason,
@@ -80,7 +80,7 @@
 }
 
 impl NotRunProof {
-    /// The agent refused, which it does only before it hands anything to its target.
+    /// The agent refused, which it does only before it sends anything to its target.
     pub fn from_refusal(refusal: &Refusal) -> Self {
         Self { reason: refusal.reason, retry_after: refusal.retry_after }
     }
@@ -90,17 +90,17 @@
         Self { reason, retry_after }
     }
 
-    /// The agent reserved a place but was never told to run, so the reservation lapses.
+    /// The agent reserved a slot but was never sent a `Run` frame, so the reservation expires.
     pub fn never_released() -> Self {
         Self { reason: RefusalReason::Unreachable, retry_after: None }
     }
 
-    /// Why the request was not run.
+    /// Reason why the request was not run.
     pub fn reason(&self) -> RefusalReason {
         self.reason
     }
 
-    /// When it is worth asking again.
+    /// Time after which a retry is useful, if known.
     pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
@@ -109,19 +109,19 @@
 /// An agent's refusal of an offer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When the agent expects to have room.
+    /// Time after which the agent expects to accept offers again; `None` if unknown.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Refuses without a hint.
+    /// A refusal without `retry_after`.
     pub fn new(reason: RefusalReason) -> Self {
         Self { reason, retry_after: None }
     }
 
-    /// Adds when to come back.
+    /// Sets `retry_after`.
     #[must_use]
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
--- a/crates/core/src/permits.rs
+++ b/crates/core/src/permits.rs
@@ -1,15 +1,15 @@
-//! Load permits: a rate and a number at once, the most urgent request first.
+//! Load permits: they limit the rate of loads and their concurrency; the most urgent request goes first.
 
 use crate::{ids::Timestamp, priority::LoadUrgency, protocol::PermitRequest};
 use std::time::Duration;
 
-/// Time after which a granted permit counts as given back, whatever became of its holder.
+/// Time after which a granted permit counts as returned, in case its holder has failed.
 const PERMIT_TTL: Duration = Duration::from_secs(15);
 
-/// Which request goes first.
+/// Order in which waiting requests are granted.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PermitOrder {
-    /// In the order of asking.
+    /// First come, first served.
     Fifo,
     /// The most urgent first.
     #[default]
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The order's name.
+    /// The name that [`PermitOrder::parse`] reads.
     pub fn name(self) -> &'static str {
         match self {
             Self::Fifo => "fifo",
@@ -35,19 +35,19 @@
     }
 }
 
-/// What the weight store allows.
+/// Limits that protect the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitLimits {
-    /// Loads that may begin in a second.
+    /// Loads that may begin per second.
     pub rate: f64,
-    /// Loads under way at once.
+    /// Loads that may be under way at once.
     pub active: usize,
-    /// Which request goes first.
+    /// Order in which waiting requests are granted.
     pub order: PermitOrder,
 }
 
-/// Grants permits within limits. Two pools for the same store only slow loads down, so nothing is
-/// kept or agreed on.
+/// Grants permits within limits. Two pools for the same store only slow loads down, so the state is
+/// neither persisted nor coordinated.
 #[derive(Debug)]
 pub struct PermitPool {
     limits: PermitLimits,
@@ -58,23 +58,23 @@
 }
 
 impl PermitPool {
-    /// Starts with one permit in hand, not a full second's worth: a pool that was just restarted
-    /// must not grant again what its predecessor granted a moment ago.
+    /// Starts with one token, not those of a full second: a restarted pool must not grant again what its
+    /// predecessor has just granted.
     pub fn new(limits: PermitLimits, now: Timestamp) -> Self {
         Self { limits, tokens: 1.0, refilled: now, waiting: Vec::new(), active: Vec::new() }
     }
 
-    /// Permits granted and not given back.
+    /// Number of permits granted and not returned.
     pub fn active(&self) -> usize {
         self.active.len()
     }
 
-    /// Whether a request was granted and not given back.
+    /// Whether a request holds a permit.
     pub fn holds(&self, request: &PermitRequest) -> bool {
         self.active.iter().any(|(active, _)| active == request)
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Takes back a request or a permit: the load ended, or is no longer wanted.
+    /// Removes a request or returns its permit: the load has ended, or is no longer wanted.
     pub fn end(&mut self, request: &PermitRequest) {
         self.waiting.retain(|(waiting, _, _)| waiting != request);
         self.active.retain(|(active, _)| active != request);
     }
 
-    /// Grants what the limits allow now.
+    /// Grants as many waiting requests as the limits allow now.
     pub fn grant(&mut self, now: Timestamp) -> Vec<PermitRequest> {
         self.refill(now);
         self.active.retain(|(_, granted)| now.saturating_sub(*granted) < PERMIT_TTL);
@@ -126,12 +126,12 @@
 
     fn most_urgent(&self, now: Timestamp) -> Option<usize> {
         let urgency = |index: usize| {
-            let (_, urgency, asked) = &self.waiting[index];
-            LoadUrgency { waited: urgency.waited + now.saturating_sub(*asked), ..*urgency }
+            let (_, urgency, enqueued) = &self.waiting[index];
+            LoadUrgency { waited: urgency.waited + now.saturating_sub(*enqueued), ..*urgency }
         };
-        let asked = |index: usize| self.waiting[index].2;
+        let enqueued = |index: usize| self.waiting[index].2;
         (0..self.waiting.len()).max_by(|&a, &b| match self.limits.order {
-            PermitOrder::Fifo => asked(b).cmp(&asked(a)),
+            PermitOrder::Fifo => enqueued(b).cmp(&enqueued(a)),
             PermitOrder::Urgency => urgency(a).cmp(&urgency(b)),
         })
     }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -2,32 +2,32 @@
 
 use crate::cost::{CostWeights, TargetEstimate, target_cost};
 
-/// Costs within this many milliseconds of the lowest count as equal and are drawn from at random,
-/// so that entries with equal views do not all pick the same target.
-const NEAR_TIE_MS: f64 = 1.0;
+/// Targets whose costs are within this many milliseconds of the lowest count as equal, and one of them
+/// is picked at random, so that entries with equal views do not all pick the same target.
+const TIE_MARGIN_MS: f64 = 1.0;
 
 /// A target that may take the request. Candidates come in rendezvous order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicyCandidate {
     /// Index of the target in the entry's table.
     pub target: usize,
-    /// What is believed of it.
+    /// The entry's estimate of the target.
     pub estimate: TargetEstimate,
 }
 
-/// Picks a candidate.
+/// A strategy that picks one of several candidates.
 pub trait TargetPolicy {
     /// Position of the pick among `candidates`, which are not empty; `draw` is a random number.
     fn pick(&self, candidates: &[PolicyCandidate], weights: CostWeights, draw: u64) -> usize;
 
-    /// Whether the policy is to see only the adapter's preferred targets, not the whole fleet.
+    /// Whether the candidates are the adapter's preferred targets only, not all targets of the kind.
     fn wants_preferred(&self) -> bool;
 }
 
-/// The policies that a setting can name.
+/// The policies that can be configured.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum RoutingPolicy {
-    /// Any target, drawn evenly.
+    /// Any target, uniformly at random.
     Random,
     /// The target with the fewest requests.
     LeastOutstanding,
@@ -39,7 +39,7 @@
 }
 
 impl RoutingPolicy {
-    /// All policies.
+    /// All policies, in the order of the error text of [`RoutingPolicy::parse`].
     pub const ALL: [Self; 4] = [Self::Random, Self::LeastOutstanding, Self::Hash, Self::Cost];
 
     /// Parses a policy's name.
@@ -50,7 +50,7 @@
         })
     }
 
-    /// The policy's name.
+    /// The name that [`RoutingPolicy::parse`] reads.
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -70,7 +70,7 @@
                 pick_lowest(candidates, draw, 0.0, |c| f64::from(c.estimate.occupied))
             }
             Self::Cost => {
-                pick_lowest(candidates, draw, NEAR_TIE_MS, |c| target_cost(weights, &c.estimate))
+                pick_lowest(candidates, draw, TIE_MARGIN_MS, |c| target_cost(weights, &c.estimate))
             }
         }
     }
@@ -88,6 +88,6 @@
 ) -> usize {
     let costs: Vec<f64> = candidates.iter().map(cost).collect();
     let lowest = costs.iter().copied().fold(f64::INFINITY, f64::min);
-    let near: Vec<usize> = (0..costs.len()).filter(|&index| costs[index] <= lowest + tie).collect();
-    near[(draw % near.len() as u64) as usize]
+    let tied: Vec<usize> = (0..costs.len()).filter(|&index| costs[index] <= lowest + tie).collect();
+    tied[(draw % tied.len() as u64) as usize]
 }
--- a/crates/core/src/priority.rs
+++ b/crates/core/src/priority.rs
@@ -1,25 +1,25 @@
-//! How important requests are, and how urgent loads.
+//! Priority of requests and urgency of loads.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Importance of a request, most important first.
+/// Priority of a request, highest first.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Somebody waits at a gate or on a show floor.
+    /// Interactive: a person waits on site for the answer.
     Upper,
-    /// The ordinary case.
+    /// The default.
     #[default]
     Normal,
-    /// May wait, and is shed first.
+    /// May wait; refused first when a queue is full.
     Lower,
 }
 
 impl Priority {
-    /// All priorities, most important first.
+    /// All priorities, highest first.
     pub const ALL: [Self; 3] = [Self::Upper, Self::Normal, Self::Lower];
 
     /// Position in [`Priority::ALL`]; also the number that engines sort by, smallest first.
@@ -47,12 +47,12 @@
     }
 }
 
-/// How much a load is wanted; greater is more urgent.
+/// Urgency of a load, compared field by field; greater is more urgent.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LoadUrgency {
-    /// Priority of the most important waiter, as `2 - rank`.
+    /// Highest priority among the waiting requests, as `2 - rank`.
     pub importance: u8,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiters: u32,
     /// Time that the first of them has waited.
     pub waited: Duration,
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -17,10 +17,10 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Version of these messages; both ends must agree on it.
+/// Version of these messages; both ends must have the same one.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// What a request asks a target for.
+/// The work that a request asks a target to do.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WorkItem {
     /// A completion by one version of an adapter of a base model.
@@ -32,12 +32,12 @@
     },
     /// A call of a plain service.
     Service {
-        /// The service.
+        /// Name of the service.
         name: ServiceName,
     },
 }
 
-/// Method, path and headers of a request to hand on.
+/// Method, path and headers of a request to forward.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RequestHead {
     /// HTTP method.
@@ -55,23 +55,23 @@
     pub protocol: u16,
     /// The request.
     pub request: RequestId,
-    /// Configuration revision that the entry resolved the request with.
+    /// Configuration revision with which the entry resolved the request.
     pub revision: ConfigRevision,
-    /// Last [`TargetReport::residency`] that the entry has seen of this target.
+    /// Last [`TargetReport::residency`] that the entry has received from this target.
     pub known_residency: u64,
     /// What to run.
     pub work: WorkItem,
     /// Whether running it twice does no harm.
     pub idempotent: bool,
-    /// Importance.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Who asks.
+    /// Name of the caller.
     pub caller: CallerName,
-    /// The caller's weight against other callers.
+    /// The caller's weight in fair queueing.
     pub share: u32,
-    /// Time until the caller's deadline, counted by the agent from receipt.
+    /// Time until the caller's deadline; the agent counts it from receipt.
     pub time_left: Duration,
-    /// What to send to the target.
+    /// Method, path and headers to send to the target.
     pub head: RequestHead,
     /// Body to send to the target.
     pub body: Bytes,
@@ -79,37 +79,38 @@
 
 /// First frames of streams to an entry.
 ///
-/// A load is asked for on a stream of its own; ending the stream gives the permit back, so a broker
-/// need not trust agents to say so.
+/// Each permit is requested on a stream of its own; the end of the stream returns the permit, so a
+/// broker does not depend on agents to return permits.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PeerFrame {
-    /// Asks for the configuration and the targets, as a starting entry does in an outage.
+    /// Requests the configuration and the targets, as an entry does that starts while the platform is
+    /// down.
     Join,
-    /// Asks for a permit, or tells that its urgency has changed.
+    /// Requests a permit, or updates the urgency of the request.
     Ask {
-        /// Who loads what.
+        /// Target and adapter of the load.
         request: PermitRequest,
-        /// How much it is wanted.
+        /// Urgency of the load.
         urgency: LoadUrgency,
     },
 }
 
-/// What an entry tells one that joins. The configuration travels as JSON, the form in which the
-/// platform holds it.
+/// Reply to [`PeerFrame::Join`]. The configuration is sent as JSON, the form in which the platform
+/// holds it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JoinFrame {
-    /// The root.
+    /// The configuration root, as JSON.
     pub root: Bytes,
-    /// All parts, by name.
+    /// Names and JSON contents of all parts.
     pub parts: Vec<(String, Bytes)>,
-    /// The targets.
+    /// The targets that the sender knows.
     pub targets: Vec<TargetRecord>,
 }
 
-/// The broker's answer on the same stream.
+/// The broker's grant, sent on the stream of the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GrantFrame {
-    /// Who may load what.
+    /// Target and adapter that may be loaded now.
     pub request: PermitRequest,
 }
 
@@ -125,7 +126,7 @@
     },
 }
 
-/// An agent's state, sent back on every exchange. Soft: it may be stale on arrival.
+/// An agent's state, sent with its answers. It may be stale on arrival.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetReport {
     /// Counter that grows with each change of the resident set.
@@ -140,13 +141,13 @@
     pub queued: u32,
     /// Requests that the target runs at once.
     pub batch_limit: u32,
-    /// Expected wait until an adapter asked for now is loaded.
+    /// Expected wait until an adapter that is requested now is loaded.
     pub load_wait: Duration,
-    /// What others would lose by the eviction that a load needs, as a wait.
+    /// Expected cost, as a wait, of the eviction that a load needs.
     pub slot_cost: Duration,
     /// Mean time that a request runs.
     pub service_time: Duration,
-    /// Whether the target takes no new work.
+    /// Whether the agent is draining and accepts no new work.
     pub leaving: bool,
     /// Configuration revision of the agent.
     pub revision: ConfigRevision,
@@ -155,23 +156,23 @@
 /// Frames from agent to entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AgentFrame {
-    /// The request has a place.
+    /// The request is accepted.
     Accepted {
         /// The request.
         request: RequestId,
         /// State after accepting it.
         report: TargetReport,
     },
-    /// The request was not, and will not be, handed to the target.
+    /// The request was not, and will not be, sent to the target.
     Refused {
         /// The request.
         request: RequestId,
-        /// Reason and hint.
+        /// Reason, and when to retry.
         refusal: Refusal,
         /// State after refusing it.
         report: TargetReport,
     },
-    /// The target's answer begins.
+    /// Start of the target's answer.
     Head {
         /// The request.
         request: RequestId,
@@ -179,19 +180,19 @@
         status: u16,
         /// End-to-end headers.
         headers: Vec<(String, Bytes)>,
-        /// Adapter and version that the answer itself names.
+        /// Adapter and version that the answer itself names, if any.
         ran_on: Option<AdapterKey>,
         /// Time that the request waited for its adapter.
         load_stall: Duration,
     },
-    /// A piece of the body.
+    /// Part of the answer's body.
     Chunk {
         /// The request.
         request: RequestId,
-        /// The bytes.
+        /// Bytes of the body.
         data: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// The request.
         request: RequestId,
@@ -202,15 +203,15 @@
     Failed {
         /// The request.
         request: RequestId,
-        /// What is known of the request.
+        /// Whether the request may have run.
         outcome: RunOutcome,
-        /// What went wrong, with step and peer.
+        /// Error message, with step and peer.
         message: String,
     },
 }
 
 impl AgentFrame {
-    /// Whether nothing follows it on its stream.
+    /// Whether it is the last frame of its stream.
     pub fn is_last(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::End { .. } | Self::Failed { .. })
     }
@@ -228,11 +229,11 @@
     }
 }
 
-/// A permit that was asked for or granted.
+/// A permit that is requested or granted.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct PermitRequest {
-    /// Who loads.
+    /// Target that loads.
     pub target: TargetName,
-    /// What.
+    /// Adapter to load.
     pub key: AdapterKey,
 }
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous (highest random weight) hashing: every process gets the same order with no message.
+//! Rendezvous (highest random weight) hashing: every process computes the same order without messages.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,9 +1,10 @@
-//! Retry budget: retries may never become the load.
+//! Retry budget: bounds retries to a fraction of the answered requests, so that they cannot overload
+//! the targets.
 
-/// Retries that may be saved up while all goes well.
+/// Largest balance of retries.
 const RETRY_RESERVE: f64 = 20.0;
 
-/// Allows retries as a fraction of recent first attempts.
+/// Allows retries as a fraction of recently answered requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -11,22 +12,22 @@
 }
 
 impl RetryBudget {
-    /// Starts with a full reserve; `ratio` is the retries earned by each first attempt.
+    /// Starts with a full reserve; `ratio` is the number of retries that each answered request earns.
     pub fn new(ratio: f64) -> Self {
         Self { ratio, balance: RETRY_RESERVE }
     }
 
-    /// Changes the ratio, as a preset switch does.
+    /// Changes the ratio, as when another preset comes into force.
     pub fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio;
     }
 
-    /// Earns a share of a retry from a request that was answered.
+    /// Adds the retries earned by an answered request.
     pub fn record_success(&mut self) {
         self.balance = (self.balance + self.ratio).min(RETRY_RESERVE);
     }
 
-    /// Spends one retry, or says that none is left.
+    /// Takes one retry from the balance; false if none is left.
     pub fn try_spend(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,4 +1,4 @@
-//! A target as its agent announces it.
+//! Records by which agents announce their targets.
 
 use crate::ids::{BaseName, RegionName, ServiceName, TargetName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -23,13 +23,13 @@
     pub kind: TargetKind,
     /// Address of its agent.
     pub peer: SocketAddr,
-    /// Grows with each process that takes the slot; also the fencing number of its orders.
+    /// Grows with each process that takes the target's slot; also the fencing number of its orders.
     pub epoch: u64,
     /// Its region.
     pub region: RegionName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it is leaving.
+    /// Whether it is draining and takes no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/core/tests/core/burn.rs
+++ b/crates/core/tests/core/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn.
+//! Tests of burn rates.
 
 use plantain_core::{
     burn::{BurnCounts, BurnLedger, RequestOutcome, ServiceObjectives},
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn windows_count_what_fell_into_them() {
+fn windows_count_the_requests_within_them() {
     let mut ledger = BurnLedger::default();
     let objectives = ServiceObjectives::default();
     for second in 0..100 {
--- a/crates/core/tests/core/config.rs
+++ b/crates/core/tests/core/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: records, edits and parts.
+//! Tests of configuration records, edits and parts.
 
 use plantain_core::{
     config::{
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn document_survives_its_parts() {
+fn document_is_rebuilt_from_its_parts() {
     let document = document();
     assert_eq!(snapshot(&document).to_document(), document);
 }
 
-struct Resolution {
+struct ResolveCase {
     selector: &'static str,
     found: Option<&'static str>,
 }
@@ -48,10 +48,10 @@
 fn selectors_resolve_to_one_version() {
     let snapshot = snapshot(&document());
     let cases = [
-        Resolution { selector: "house-7", found: Some("house-7@1") },
-        Resolution { selector: "house-7@2", found: Some("house-7@2") },
-        Resolution { selector: "house-7@3", found: None },
-        Resolution { selector: "house-700", found: None },
+        ResolveCase { selector: "house-7", found: Some("house-7@1") },
+        ResolveCase { selector: "house-7@2", found: Some("house-7@2") },
+        ResolveCase { selector: "house-7@3", found: None },
+        ResolveCase { selector: "house-700", found: None },
     ];
     for case in cases {
         let selector = ModelSelector::parse(case.selector).expect("a good selector");
@@ -60,38 +60,38 @@
     }
 }
 
-struct BadEdit {
+struct EditCase {
     edit: ConfigEdit,
-    says: &'static str,
+    message: &'static str,
 }
 
 #[test]
-fn edits_that_make_no_sense_are_refused() {
+fn invalid_edits_are_refused() {
     let other_base = AdapterRecord { base: "clerk".into(), ..adapter("house-1", &[3], 3) };
     let cases = [
-        BadEdit { edit: ConfigEdit::RollOut("house-1".into(), 9), says: "no version 9" },
-        BadEdit { edit: ConfigEdit::RollOut("villa".into(), 1), says: "no adapter" },
-        BadEdit { edit: ConfigEdit::Retire("house-1".into(), Some(1)), says: "current" },
-        BadEdit { edit: ConfigEdit::Retire("villa".into(), None), says: "no adapter" },
-        BadEdit { edit: ConfigEdit::AddAdapters(vec![other_base]), says: "base" },
-        BadEdit { edit: ConfigEdit::SwitchPreset("peak".into()), says: "ordinary" },
-        BadEdit { edit: ConfigEdit::RemovePreset("ordinary".into()), says: "in force" },
-        BadEdit {
+        EditCase { edit: ConfigEdit::RollOut("house-1".into(), 9), message: "no version 9" },
+        EditCase { edit: ConfigEdit::RollOut("villa".into(), 1), message: "no adapter" },
+        EditCase { edit: ConfigEdit::Retire("house-1".into(), Some(1)), message: "current" },
+        EditCase { edit: ConfigEdit::Retire("villa".into(), None), message: "no adapter" },
+        EditCase { edit: ConfigEdit::AddAdapters(vec![other_base]), message: "base" },
+        EditCase { edit: ConfigEdit::SwitchPreset("peak".into()), message: "ordinary" },
+        EditCase { edit: ConfigEdit::RemovePreset("ordinary".into()), message: "in force" },
+        EditCase {
             edit: ConfigEdit::PutPreset(PresetRecord {
                 stall_weight: -1.0,
                 ..PresetRecord::new("peak")
             }),
-            says: "stall_weight",
+            message: "stall_weight",
         },
     ];
     for case in cases {
-        let error = case.edit.apply(&mut document()).expect_err(case.says).to_string();
-        assert!(error.contains(case.says), "{error}");
+        let error = case.edit.apply(&mut document()).expect_err(case.message).to_string();
+        assert!(error.contains(case.message), "{error}");
     }
 }
 
 #[test]
-fn changes_are_named() {
+fn changes_are_listed() {
     let old = document();
     let mut new = old.clone();
     ConfigEdit::Retire("house-3".into(), None).apply(&mut new).expect("known");
--- a/crates/core/tests/core/events.rs
+++ b/crates/core/tests/core/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of engines' answers.
+//! Tests of the checks on server-sent events of engines.
 
 use plantain_core::events::{EventError, EventScanner, check_answer};
 use quickcheck::QuickCheck;
@@ -6,9 +6,10 @@
 const ANSWER: &str = "data: {\"model\":\"a@1\",\"choices\":[]}\n\ndata: {\"model\":\"a@1\"}\n\n\
                       data: [DONE]\n\n";
 
-/// However the network cuts an answer into pieces, the same bytes come out, and only whole lines.
+/// However the network splits an answer into chunks, the same bytes are forwarded, and only as complete
+/// lines.
 #[test]
-fn pieces_of_any_size_join_to_the_same_answer() {
+fn chunks_of_any_size_give_the_same_answer() {
     fn property(cuts: Vec<u8>) -> bool {
         let mut scanner = EventScanner::new("a@1".into());
         let mut rest = ANSWER.as_bytes();
@@ -28,23 +29,23 @@
     QuickCheck::new().quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-struct BadEvent {
+struct EventCase {
     line: &'static str,
     error: fn(&EventError) -> bool,
 }
 
 #[test]
-fn foreign_or_malformed_events_are_refused() {
+fn events_of_another_model_or_malformed_are_refused() {
     let cases = [
-        BadEvent {
+        EventCase {
             line: "data: {\"model\":\"a@2\"}\n",
             error: |error| matches!(error, EventError::WrongModel(model) if model == "a@2"),
         },
-        BadEvent {
+        EventCase {
             line: "data: {\"choices\":[]}\n",
             error: |error| matches!(error, EventError::WrongModel(_)),
         },
-        BadEvent {
+        EventCase {
             line: "data: not json\n",
             error: |error| matches!(error, EventError::Malformed(_)),
         },
--- a/crates/core/tests/core/fingerprint.rs
+++ b/crates/core/tests/core/fingerprint.rs
@@ -1,9 +1,9 @@
-//! Which calls are the same request.
+//! Tests of call fingerprints.
 
 use plantain_core::fingerprint::call_fingerprint;
 
 struct PairCase {
-    what: &'static str,
+    change: &'static str,
     first: [&'static str; 4],
     second: [&'static str; 4],
     is_same: bool,
@@ -13,27 +13,27 @@
 fn only_the_same_content_has_the_same_fingerprint() {
     let first = ["POST", "gate.example", "/chat/1", "question"];
     let cases = [
-        PairCase { what: "the same", first, second: first, is_same: true },
+        PairCase { change: "the same", first, second: first, is_same: true },
         PairCase {
-            what: "another method",
+            change: "another method",
             first,
             second: ["PUT", "gate.example", "/chat/1", "question"],
             is_same: false,
         },
         PairCase {
-            what: "another host",
+            change: "another host",
             first,
             second: ["POST", "tower.example", "/chat/1", "question"],
             is_same: false,
         },
         PairCase {
-            what: "another query",
+            change: "another query",
             first,
             second: ["POST", "gate.example", "/chat/1?again", "question"],
             is_same: false,
         },
         PairCase {
-            what: "a byte that moved from the body to the path",
+            change: "a byte that moved from the body to the path",
             first,
             second: ["POST", "gate.example", "/chat/1q", "uestion"],
             is_same: false,
@@ -43,6 +43,6 @@
         let [first, second] = [case.first, case.second].map(|[method, host, path, body]| {
             call_fingerprint(method, host, path, body.as_bytes())
         });
-        assert_eq!(first == second, case.is_same, "{}", case.what);
+        assert_eq!(first == second, case.is_same, "{}", case.change);
     }
 }
--- a/crates/core/tests/core/main.rs
+++ b/crates/core/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, without processes.
+//! Tests of the decision logic, without processes.
 
 mod agent;
 mod burn;
--- a/crates/core/tests/core/permits.rs
+++ b/crates/core/tests/core/permits.rs
@@ -1,4 +1,4 @@
-//! Load permits.
+//! Tests of load permits.
 
 use plantain_core::{
     ids::AdapterKey,
@@ -19,10 +19,10 @@
     LoadUrgency { importance, waiters, waited: Duration::ZERO }
 }
 
-/// However loads come and end, no more than three are under way and no more than four begin in any
-/// second, beyond the one permit that a new pool has in hand.
+/// For any sequence of requests and ends of loads: at most three loads are under way, and at most four
+/// begin per second on average, in addition to the one token of a new pool.
 #[test]
-fn limits_are_never_passed() {
+fn limits_are_never_exceeded() {
     fn property(steps: Vec<(u8, u16)>) -> bool {
         let mut pool = PermitPool::new(LIMITS, Duration::ZERO);
         let mut now = Duration::ZERO;
