--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -40,7 +40,7 @@
 /// Fixed properties of an agent and its target.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
-    /// What the target serves.
+    /// Base model or service that the target serves.
     pub kind: TargetKind,
     /// Adapters that the engine holds at once.
     pub slots: usize,
--- a/crates/core/src/agent/events.rs
+++ b/crates/core/src/agent/events.rs
@@ -16,7 +16,7 @@
 pub struct OfferSummary {
     /// Number that the agent gave it.
     pub work: WorkId,
-    /// What to run.
+    /// Adapter or service that the request needs.
     pub item: WorkItem,
     /// Whether running it twice does no harm.
     pub idempotent: bool,
@@ -42,7 +42,7 @@
 /// Result of a load order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadResult {
-    /// The adapter is resident.
+    /// The adapter is loaded and requests can run on it.
     Loaded,
     /// The engine could not load it.
     Failed,
@@ -61,7 +61,7 @@
     Cancelled(WorkId),
     /// The request no longer runs at the target, whether it succeeded or failed.
     Finished {
-        /// The request.
+        /// Number that the agent gave the request.
         work: WorkId,
         /// Time that it ran.
         service_time: Duration,
@@ -72,7 +72,7 @@
     LoadPermitted(AdapterKey),
     /// A load order has ended.
     LoadEnded {
-        /// The adapter.
+        /// Adapter that was to be loaded.
         key: AdapterKey,
         /// Result of the load.
         result: LoadResult,
@@ -81,7 +81,7 @@
     },
     /// An eviction order has ended.
     EvictEnded {
-        /// The adapter.
+        /// Adapter that was to be evicted.
         key: AdapterKey,
         /// Whether the engine has unloaded it.
         evicted: bool,
@@ -98,7 +98,7 @@
     LeaseHeld(bool),
     /// A configuration has come into force.
     Configured {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: ConfigRevision,
         /// Requests that may wait at one target.
         queue_limit: u32,
@@ -114,48 +114,48 @@
 pub enum AgentAction {
     /// Notify the entry that the request is accepted.
     Accept {
-        /// The request.
+        /// Number that the agent gave the request.
         work: WorkId,
     },
     /// Notify the entry that the request was not run, and drop it.
     Refuse {
-        /// The request.
+        /// Number that the agent gave the request.
         work: WorkId,
         /// Reason, and when to retry.
         refusal: Refusal,
     },
     /// Send the request to the target.
     Start {
-        /// The request.
+        /// Number that the agent gave the request.
         work: WorkId,
         /// Time that it waited for its adapter.
         load_stall: Duration,
     },
     /// Cancel the request at the target; `Finished` follows.
     Abort {
-        /// The request.
+        /// Number that the agent gave the request.
         work: WorkId,
     },
     /// Request a load permit from the broker, or update the urgency of an earlier request.
     AskPermit {
-        /// The adapter.
+        /// Adapter that accepted work waits for.
         key: AdapterKey,
         /// Urgency of the load.
         urgency: LoadUrgency,
     },
     /// Cancel a permit or a request for one: no work waits for the adapter any more.
     DropPermit {
-        /// The adapter.
+        /// Adapter that no work waits for any more.
         key: AdapterKey,
     },
     /// Order the engine to load.
     Load {
-        /// The adapter.
+        /// Adapter to load.
         key: AdapterKey,
     },
     /// Order the engine to evict.
     Evict {
-        /// The adapter.
+        /// Adapter to evict.
         key: AdapterKey,
     },
 }
--- a/crates/core/src/agent/residency.rs
+++ b/crates/core/src/agent/residency.rs
@@ -23,7 +23,7 @@
 /// How a victim is chosen.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum EvictionPolicy {
-    /// The least recently used.
+    /// The least recently used adapter.
     Lru,
     /// The adapter of least worth: its decayed demand, plus a bonus if it was loaded recently.
     #[default]
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -74,7 +74,7 @@
     pub priority: Priority,
     /// Name of the caller.
     pub caller: CallerName,
-    /// The adapter or service.
+    /// Name of the requested adapter or service.
     pub subject: String,
     /// Reason why it got no complete answer; `None` if it got one.
     pub failure: Option<&'static str>,
--- a/crates/core/src/config/records.rs
+++ b/crates/core/src/config/records.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterRecord {
-    /// Its name.
+    /// Unique name in the configuration, checked by [`check_name`].
     pub name: AdapterName,
     /// The base model that it extends.
     pub base: BaseName,
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerRecord {
-    /// Its name.
+    /// Unique name in the configuration, checked by [`check_name`].
     pub name: CallerName,
     /// SHA-256 of its key, in hexadecimal.
     pub key_sha256: String,
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRecord {
-    /// Its name.
+    /// Unique name in the configuration, checked by [`check_name`].
     pub name: ServiceName,
     /// Rules, in the order of matching.
     #[serde(default)]
@@ -146,7 +146,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PresetRecord {
-    /// Its name.
+    /// Unique name in the configuration, checked by [`check_name`].
     pub name: PresetName,
     /// Weight of the expected load stall in the cost of a target.
     #[serde(default = "default_weight")]
--- a/crates/core/src/config/snapshot.rs
+++ b/crates/core/src/config/snapshot.rs
@@ -60,12 +60,12 @@
         &self.root
     }
 
-    /// Its revision.
+    /// Revision of the root; 0 if nothing is configured.
     pub fn revision(&self) -> ConfigRevision {
         self.root.revision
     }
 
-    /// The preset in force.
+    /// Record of the preset in force.
     pub fn preset(&self) -> &PresetRecord {
         &self.preset
     }
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -62,9 +62,9 @@
 /// Fixed properties of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions<P> {
-    /// Its region.
+    /// Region of the entry; its targets are preferred to those of others.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: ZoneName,
     /// Round-trip times from it to other zones and regions.
     pub round_trips: ZoneRoundTrips,
@@ -75,7 +75,7 @@
 /// A request for which a target is chosen.
 #[derive(Clone, Debug)]
 pub struct RouteQuery<'a> {
-    /// What to run.
+    /// Adapter or service that the request needs.
     pub work: &'a WorkItem,
     /// Targets that already refused or failed this request.
     pub excluded: &'a [TargetName],
@@ -86,7 +86,7 @@
 /// The target that a request is offered to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChoice {
-    /// Its name.
+    /// Name of the target.
     pub target: TargetName,
     /// Address of its agent.
     pub peer: SocketAddr,
@@ -137,12 +137,12 @@
         self.targets.replace(records);
     }
 
-    /// The known targets.
+    /// The known targets and the entry's view of them.
     pub fn targets(&self) -> &TargetTable {
         &self.targets
     }
 
-    /// The retry budget.
+    /// The retry budget of this entry, shared by all its requests.
     pub fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -73,7 +73,7 @@
     Done,
     /// Another request has recorded the key; holds its record.
     Taken(IdempotencyRecord),
-    /// The shard is full.
+    /// The shard holds [`SHARD_LIMIT`] records; nothing was recorded.
     Full,
 }
 
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -53,13 +53,13 @@
 pub struct OfferFrame {
     /// [`PROTOCOL_VERSION`] of the sender.
     pub protocol: u16,
-    /// The request.
+    /// Number of the request, unique within the entry process.
     pub request: RequestId,
     /// Configuration revision with which the entry resolved the request.
     pub revision: ConfigRevision,
     /// Last [`TargetReport::residency`] that the entry has received from this target.
     pub known_residency: u64,
-    /// What to run.
+    /// Adapter or service that the request needs.
     pub work: WorkItem,
     /// Whether running it twice does no harm.
     pub idempotent: bool,
@@ -121,7 +121,7 @@
     Offer(Box<OfferFrame>),
     /// Releases a reserved non-idempotent request to the target.
     Run {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
     },
 }
@@ -156,16 +156,16 @@
 /// Frames from agent to entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AgentFrame {
-    /// The request is accepted.
+    /// The request is accepted: it is queued, or reserved until `Run` if it is not idempotent.
     Accepted {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
         /// State after accepting it.
         report: TargetReport,
     },
     /// The request was not, and will not be, sent to the target.
     Refused {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
         /// Reason, and when to retry.
         refusal: Refusal,
@@ -174,7 +174,7 @@
     },
     /// Start of the target's answer.
     Head {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
         /// HTTP status.
         status: u16,
@@ -187,21 +187,21 @@
     },
     /// Part of the answer's body.
     Chunk {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
         /// Bytes of the body.
         data: Bytes,
     },
-    /// The answer is complete.
+    /// The answer is complete; last frame of an answered request.
     End {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
         /// State after the request.
         report: TargetReport,
     },
     /// The answer cannot be completed.
     Failed {
-        /// The request.
+        /// Number of the request at its entry.
         request: RequestId,
         /// Whether the request may have run.
         outcome: RunOutcome,
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -17,17 +17,17 @@
 /// A target as its agent announces it on the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetRecord {
-    /// Its name.
+    /// Name of the target, unique on the platform.
     pub name: TargetName,
-    /// What it serves.
+    /// Base model or service that it serves.
     pub kind: TargetKind,
     /// Address of its agent.
     pub peer: SocketAddr,
     /// Grows with each process that takes the target's slot; also the fencing number of its orders.
     pub epoch: u64,
-    /// Its region.
+    /// Region of the target.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: ZoneName,
     /// Whether it is draining and takes no new requests.
     #[serde(default)]
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -213,8 +213,8 @@
         // The first report holds the agent's initial estimate, from before its first load.
         for load_ms in [800, 70] {
             let load_wait = Duration::from_millis(load_ms);
-            let report = TargetReport { load_wait, ..report(vec![], 0) };
-            state.apply_report(&"scribe-0".into(), report);
+            let sent = TargetReport { load_wait, ..report(vec![], 0) };
+            state.apply_report(&"scribe-0".into(), sent);
         }
         *counts.entry(choose(&mut state, &work(adapter), 0)).or_insert(0) += 1;
     }
