--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -31,10 +31,10 @@
 /// entry's claim of the idempotency key, a few round trips to the platform.
 pub const RESERVATION_TTL: Duration = Duration::from_secs(10);
 /// Estimate of a request's service time until the first request has ended.
-const SERVICE_TIME_GUESS: Duration = Duration::from_millis(200);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(200);
 /// Probability that an evicted adapter must be loaded again soon, per unit of its demand.
 const RELOAD_CHANCE: f64 = 0.1;
-/// Demand assumed for the victim when all adapters are in use.
+/// Demand used in place of the victim's when all adapters are in use.
 const PINNED_DEMAND: f64 = 50.0;
 
 /// Fixed properties of an agent and its target.
@@ -84,7 +84,7 @@
     target_up: bool,
     advertised: AdvertisedState,
     running: u32,
-    works: HashMap<WorkId, WorkRecord>,
+    requests: HashMap<WorkId, WorkRecord>,
     queue: WorkQueue,
     residents: ResidentTable,
     loads: LoadTable,
@@ -105,10 +105,10 @@
             target_up: false,
             advertised: AdvertisedState::default(),
             running: 0,
-            works: HashMap::new(),
+            requests: HashMap::new(),
             queue: WorkQueue::default(),
             loads: LoadTable::default(),
-            service_time: RunningMean::new(SERVICE_TIME_GUESS),
+            service_time: RunningMean::new(INITIAL_SERVICE_TIME),
             actions: Vec::new(),
         }
     }
@@ -147,7 +147,7 @@
 
     /// Whether the agent may exit: it is stopping and holds no accepted work.
     pub fn is_drained(&self) -> bool {
-        self.draining && self.works.is_empty()
+        self.draining && self.requests.is_empty()
     }
 
     /// Whether this process holds the lease of its target.
@@ -167,7 +167,7 @@
 
     /// Requests accepted and waiting.
     pub fn queued(&self) -> u32 {
-        self.works.len() as u32 - self.running
+        self.requests.len() as u32 - self.running
     }
 
     /// The resident set, for tests and status pages.
@@ -245,7 +245,7 @@
             offer,
         };
         self.request_load(&record, now);
-        self.works.insert(work, record);
+        self.requests.insert(work, record);
         self.actions.push(AgentAction::Accept { work });
     }
 
@@ -260,15 +260,15 @@
 
     /// Requests loads for all accepted work whose adapter is no longer resident, as after a restart.
     fn request_missing_loads(&mut self, now: Timestamp) {
-        let works = std::mem::take(&mut self.works);
-        for record in works.values().filter(|record| record.phase != WorkPhase::Running) {
+        let requests = std::mem::take(&mut self.requests);
+        for record in requests.values().filter(|record| record.phase != WorkPhase::Running) {
             self.request_load(record, now);
         }
-        self.works = works;
+        self.requests = requests;
     }
 
     fn released(&mut self, work: WorkId) {
-        let Some(record) = self.works.get_mut(&work) else { return };
+        let Some(record) = self.requests.get_mut(&work) else { return };
         if matches!(record.phase, WorkPhase::Reserved(_)) {
             record.phase = WorkPhase::Queued;
             self.queue.push(QueuedWork::new(&record.offer));
@@ -276,7 +276,7 @@
     }
 
     fn cancelled(&mut self, work: WorkId) {
-        let Some(record) = self.works.get(&work) else { return };
+        let Some(record) = self.requests.get(&work) else { return };
         match record.phase {
             // A non-idempotent request that runs is not aborted, because that would leave its effect
             // half done and its outcome unknown.
@@ -289,7 +289,7 @@
     }
 
     fn finished(&mut self, work: WorkId, service_time: Duration, now: Timestamp) {
-        let Some(record) = self.works.get(&work) else { return };
+        let Some(record) = self.requests.get(&work) else { return };
         if record.phase != WorkPhase::Running {
             return;
         }
@@ -303,7 +303,7 @@
     /// Requeues a request that the engine refused because it does not hold the adapter, and requests
     /// the load again. The request has not run.
     fn adapter_missing(&mut self, work: WorkId, now: Timestamp) {
-        let Some(record) = self.works.get_mut(&work) else { return };
+        let Some(record) = self.requests.get_mut(&work) else { return };
         if record.phase != WorkPhase::Running {
             return;
         }
@@ -334,7 +334,7 @@
     }
 
     fn record_stalls(&mut self, key: &AdapterKey, now: Timestamp) {
-        for record in self.works.values_mut().filter(|record| record.offer.needs(key)) {
+        for record in self.requests.values_mut().filter(|record| record.offer.needs(key)) {
             record.stall.get_or_insert(now.saturating_sub(record.accepted));
         }
     }
@@ -343,7 +343,7 @@
         let waits =
             |record: &&WorkRecord| record.phase != WorkPhase::Running && record.offer.needs(key);
         let waiters: Vec<WorkId> =
-            self.works.values().filter(waits).map(|record| record.offer.work).collect();
+            self.requests.values().filter(waits).map(|record| record.offer.work).collect();
         for work in waiters {
             self.refuse_accepted(work, RefusalReason::LoadFailed);
         }
@@ -355,7 +355,7 @@
         self.advertised.record_backoff(backoff, now);
         let is_waiting = |record: &&WorkRecord| record.phase != WorkPhase::Running;
         let waiting: Vec<WorkId> =
-            self.works.values().filter(is_waiting).map(|record| record.offer.work).collect();
+            self.requests.values().filter(is_waiting).map(|record| record.offer.work).collect();
         for work in waiting {
             let refusal = self.backoff_refusal(now);
             self.refuse_with(work, refusal);
@@ -383,7 +383,7 @@
     /// to act.
     fn expire(&mut self, now: Timestamp) {
         let late: Vec<WorkId> = self
-            .works
+            .requests
             .values()
             .filter(|record| Self::is_late(record, now))
             .map(|record| record.offer.work)
@@ -396,7 +396,7 @@
     fn is_late(record: &WorkRecord, now: Timestamp) -> bool {
         match record.phase {
             WorkPhase::Running => false,
-            WorkPhase::Reserved(lapses) => now >= lapses.min(record.deadline),
+            WorkPhase::Reserved(expires) => now >= expires.min(record.deadline),
             WorkPhase::Queued => now >= record.deadline,
         }
     }
@@ -412,7 +412,7 @@
     }
 
     fn forget(&mut self, work: WorkId) {
-        let Some(record) = self.works.remove(&work) else { return };
+        let Some(record) = self.requests.remove(&work) else { return };
         if record.phase == WorkPhase::Running {
             self.running -= 1;
         }
--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -32,7 +32,7 @@
                 WorkItem::Service { .. } => true,
             });
             let Some(work) = next else { return };
-            let Some(record) = self.works.get_mut(&work) else { continue };
+            let Some(record) = self.requests.get_mut(&work) else { continue };
             record.phase = WorkPhase::Running;
             self.running += 1;
             let load_stall = record.stall.unwrap_or_default();
--- a/crates/core/src/agent/loads.rs
+++ b/crates/core/src/agent/loads.rs
@@ -9,7 +9,7 @@
 use std::{collections::HashMap, time::Duration};
 
 /// Estimate of a load's duration until the first load has ended.
-const LOAD_TIME_GUESS: Duration = Duration::from_millis(800);
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(800);
 /// Loads of one adapter that may fail before its waiters are refused.
 const ATTEMPT_LIMIT: u32 = 2;
 /// Pause after a failed load.
@@ -51,7 +51,7 @@
 
 impl Default for LoadTable {
     fn default() -> Self {
-        Self { loads: HashMap::new(), load_time: RunningMean::new(LOAD_TIME_GUESS), counter: 0 }
+        Self { loads: HashMap::new(), load_time: RunningMean::new(INITIAL_LOAD_TIME), counter: 0 }
     }
 }
 
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -11,13 +11,13 @@
 };
 
 /// Length of one bucket.
-const BUCKET_TIME: Duration = Duration::from_secs(10);
+const BUCKET_LENGTH: Duration = Duration::from_secs(10);
 /// Number of buckets kept: one hour.
 const BUCKET_COUNT: usize = 360;
 /// Names with a failure count; when they are more, those with the smallest counts are dropped.
 const NAME_LIMIT: usize = 512;
 /// Names in a report, those with the largest counts.
-const SHOWN_NAMES: usize = 10;
+const TOP_NAMES: usize = 10;
 
 /// Lengths of the windows in a report, in seconds.
 pub const BURN_WINDOWS: [u64; 3] = [60, 600, 3_600];
@@ -150,7 +150,7 @@
 
 #[derive(Debug)]
 struct BurnBucket {
-    begins: Timestamp,
+    start: Timestamp,
     classes: [BurnCounts; 3],
 }
 
@@ -203,7 +203,7 @@
     fn window(&self, seconds: u64, now: Timestamp) -> BTreeMap<String, BurnCounts> {
         let from = now.saturating_sub(Duration::from_secs(seconds));
         let mut classes = [BurnCounts::default(); 3];
-        for bucket in self.buckets.iter().filter(|bucket| bucket.begins >= from) {
+        for bucket in self.buckets.iter().filter(|bucket| bucket.start >= from) {
             for (sum, counts) in classes.iter_mut().zip(&bucket.classes) {
                 sum.add(counts);
             }
@@ -213,13 +213,13 @@
     }
 
     fn bucket(&mut self, now: Timestamp) -> &mut BurnBucket {
-        let is_new = self.buckets.back().is_none_or(|last| now >= last.begins + BUCKET_TIME);
+        let is_new = self.buckets.back().is_none_or(|last| now >= last.start + BUCKET_LENGTH);
         if is_new {
             if self.buckets.len() == BUCKET_COUNT {
                 self.buckets.pop_front();
             }
             let classes = [BurnCounts::default(); 3];
-            self.buckets.push_back(BurnBucket { begins: now, classes });
+            self.buckets.push_back(BurnBucket { start: now, classes });
         }
         self.buckets.back_mut().expect("a bucket was just added")
     }
@@ -248,7 +248,7 @@
         let mut names: Vec<(String, u64)> =
             self.0.iter().map(|(name, count)| (name.clone(), *count)).collect();
         names.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-        names.truncate(SHOWN_NAMES);
+        names.truncate(TOP_NAMES);
         names
     }
 }
--- a/crates/core/src/entry/targets.rs
+++ b/crates/core/src/entry/targets.rs
@@ -17,8 +17,8 @@
 const EJECTION_LIMIT: Duration = Duration::from_secs(16);
 /// Longest time for which a target gets no offers after a refusal, whatever `retry_after` it sent.
 const PAUSE_LIMIT: Duration = Duration::from_secs(1);
-/// Assumed batch size of a target that has not reported.
-const BATCH_LIMIT_GUESS: u32 = 8;
+/// Batch limit used for a target that has not reported.
+const DEFAULT_BATCH_LIMIT: u32 = 8;
 
 /// An entry's view of one target.
 #[derive(Debug)]
@@ -110,7 +110,7 @@
         TargetEstimate {
             load_stall,
             occupied: occupied.max(self.in_flight),
-            batch_limit: if reported { self.report.batch_limit } else { BATCH_LIMIT_GUESS },
+            batch_limit: if reported { self.report.batch_limit } else { DEFAULT_BATCH_LIMIT },
             service_time: self.report.service_time,
             zone_round_trip: round_trip,
         }
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -29,7 +29,7 @@
 }
 
 /// Routers that have each recorded one crash of the poison request.
-fn witnesses(count: usize) -> Vec<CrashLedger> {
+fn reporting_routers(count: usize) -> Vec<CrashLedger> {
     let with_crash = |number: usize| {
         let mut ledger = ledger(number as u64);
         // The router's other call at that target is innocent.
@@ -44,7 +44,7 @@
 /// whatever the order and number of deliveries, and no call that shared one of the crashes.
 #[test]
 fn three_reports_of_many_routers_suffice() {
-    let routers = witnesses(330);
+    let routers = reporting_routers(330);
     for first in [0, 117, 327] {
         let mut newcomer = ledger(9_999);
         for (received, router) in
