--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -1,7 +1,7 @@
-//! The agent's state machine: sole authority over its one target.
+//! The agent's state machine: it alone controls its one target.
 //!
-//! Events go in, actions come out. Because nothing else orders the target anything, promises such
-//! as "an adapter in use is never evicted" are local invariants of this module.
+//! It takes events and returns actions. Because nothing else sends orders to the target, rules such as
+//! "an adapter in use is never evicted" are local invariants of this module.
 
 mod admission;
 mod dispatch;
@@ -27,20 +27,20 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Time after which a reservation that was never released lapses. It only has to outlast the
-/// entry's request of the idempotency key, a few platform round trips.
+/// Time after which a reservation that was never released expires. It only has to outlast the
+/// entry's claim of the idempotency key, a few round trips to the platform.
 pub const RESERVATION_TTL: Duration = Duration::from_secs(10);
-/// First guess of the time that a request runs, until requests have been seen.
-const SERVICE_TIME_GUESS: Duration = Duration::from_millis(200);
-/// Chance that an evicted adapter must be loaded again soon, for each unit of its demand.
+/// Estimate of a request's service time until the first request has ended.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(200);
+/// Probability that an evicted adapter must be loaded again soon, per unit of its demand.
 const RELOAD_CHANCE: f64 = 0.1;
-/// Demand that stands for that of the victim when all adapters are in use.
+/// Demand used in place of the victim's when all adapters are in use.
 const PINNED_DEMAND: f64 = 50.0;
 
 /// Fixed properties of an agent and its target.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
-    /// What the target serves.
+    /// Base model or service that the target serves.
     pub kind: TargetKind,
     /// Adapters that the engine holds at once.
     pub slots: usize,
@@ -50,17 +50,17 @@
     pub load_limit: usize,
     /// Which adapter to evict.
     pub eviction: EvictionPolicy,
-    /// Where the resident set's counter starts; higher than any that an earlier process has sent.
+    /// Start of the resident set's counter; higher than any value that an earlier process has sent.
     pub residency_base: u64,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum WorkPhase {
-    /// Accepted, not yet released by the entry; lapses at this time.
+    /// Accepted, not yet released by the entry; expires at this time.
     Reserved(Timestamp),
-    /// Waits for its adapter or a batch place.
+    /// Waits for its adapter or a batch slot.
     Queued,
-    /// Handed to the target.
+    /// Sent to the target.
     Running,
 }
 
@@ -79,12 +79,12 @@
     options: AgentOptions,
     queue_limit: u32,
     revision: ConfigRevision,
-    leaving: bool,
+    draining: bool,
     leased: bool,
     target_up: bool,
-    statement: AdvertisedState,
+    advertised: AdvertisedState,
     running: u32,
-    works: HashMap<WorkId, WorkRecord>,
+    requests: HashMap<WorkId, WorkRecord>,
     queue: WorkQueue,
     residents: ResidentTable,
     loads: LoadTable,
@@ -100,20 +100,20 @@
             options,
             queue_limit: PresetRecord::new("initial").queue_limit,
             revision: 0,
-            leaving: false,
+            draining: false,
             leased: true,
             target_up: false,
-            statement: AdvertisedState::default(),
+            advertised: AdvertisedState::default(),
             running: 0,
-            works: HashMap::new(),
+            requests: HashMap::new(),
             queue: WorkQueue::default(),
             loads: LoadTable::default(),
-            service_time: RunningMean::new(SERVICE_TIME_GUESS),
+            service_time: RunningMean::new(INITIAL_SERVICE_TIME),
             actions: Vec::new(),
         }
     }
 
-    /// Takes in one event and returns what to do about it, in order.
+    /// Handles one event and returns the resulting actions, in order.
     pub fn handle(&mut self, event: AgentEvent, now: Timestamp) -> Vec<AgentAction> {
         match event {
             AgentEvent::Offered(offer) => self.offered(*offer, now),
@@ -127,27 +127,27 @@
             }
             AgentEvent::EvictEnded { key, evicted } => self.residents.evict_ended(&key, evicted),
             AgentEvent::Inventory(held) => {
-                self.residents.adopt(held, now);
-                self.want_missing(now);
+                self.residents.reconcile(held, now);
+                self.request_missing_loads(now);
             }
             AgentEvent::TargetRestarted => self.target_restarted(now),
             AgentEvent::TargetUp(up) => self.set_target_up(up),
-            AgentEvent::TargetRests(rest) => self.target_rests(rest, now),
+            AgentEvent::TargetBacksOff(backoff) => self.start_backoff(backoff, now),
             AgentEvent::LeaseHeld(held) => self.leased = held,
             AgentEvent::Configured { revision, queue_limit } => {
                 self.revision = self.revision.max(revision);
                 self.queue_limit = queue_limit;
             }
-            AgentEvent::Stopping => self.leaving = true,
+            AgentEvent::Stopping => self.draining = true,
             AgentEvent::Tick => self.expire(now),
         }
-        self.pump(now);
+        self.dispatch_work(now);
         std::mem::take(&mut self.actions)
     }
 
     /// Whether the agent may exit: it is stopping and holds no accepted work.
     pub fn is_drained(&self) -> bool {
-        self.leaving && self.works.is_empty()
+        self.draining && self.requests.is_empty()
     }
 
     /// Whether this process holds the lease of its target.
@@ -155,37 +155,38 @@
         self.leased
     }
 
-    /// Whether the target answers.
+    /// Whether the target is known to be up.
     pub fn is_target_up(&self) -> bool {
         self.target_up
     }
 
-    /// Requests handed to the target and not yet ended.
+    /// Requests sent to the target and not yet ended.
     pub fn running(&self) -> u32 {
         self.running
     }
 
     /// Requests accepted and waiting.
     pub fn queued(&self) -> u32 {
-        self.works.len() as u32 - self.running
+        self.requests.len() as u32 - self.running
     }
 
-    /// The resident set, for invariants and status pages.
+    /// The resident set, for tests and status pages.
     pub fn residents(&self) -> &ResidentTable {
         &self.residents
     }
 
-    /// Adapters that accepted work waits for.
+    /// Number of adapters that accepted work waits for.
     pub fn loads_wanted(&self) -> usize {
         self.loads.keys().count()
     }
 
-    /// How many requests of this target hold `key`, queued and reserved ones included.
+    /// Number of requests that pin `key`, queued and reserved ones included.
     pub fn pins(&self, key: &AdapterKey) -> u32 {
         self.residents.pins(key)
     }
 
-    /// The state to send back; residents only if the receiver's counter is not current.
+    /// The state to send back to an entry; includes the residents only if `known_residency`, the entry's
+    /// counter, is out of date.
     pub fn report(&self, known_residency: u64, now: Timestamp) -> TargetReport {
         let changes = self.residents.counter() + self.loads.counter();
         let residency = self.options.residency_base + changes;
@@ -201,12 +202,13 @@
             load_wait: self.loads.expected_wait(self.options.load_limit, now),
             slot_cost: self.slot_cost(now),
             service_time: self.service_time.read(),
-            leaving: self.leaving,
+            leaving: self.draining,
             revision: self.revision,
         }
     }
 
-    /// An evicted adapter is loaded again with a chance that grows with its demand.
+    /// Expected cost of the eviction that a load needs. The probability that the evicted adapter is loaded
+    /// again grows with its demand.
     fn slot_cost(&self, now: Timestamp) -> Duration {
         let demand = self.residents.victim_demand(now).unwrap_or(PINNED_DEMAND);
         self.loads.load_time().mul_f64(demand * RELOAD_CHANCE)
@@ -214,7 +216,7 @@
 
     fn offered(&mut self, offer: OfferSummary, now: Timestamp) {
         let work = offer.work;
-        match self.judge(&offer, now) {
+        match self.check_offer(&offer, now) {
             Err(refusal) => self.actions.push(AgentAction::Refuse { work, refusal }),
             Ok(()) => self.accept(offer, now),
         }
@@ -242,31 +244,31 @@
             stall: ready.then_some(Duration::ZERO),
             offer,
         };
-        self.want_load(&record, now);
-        self.works.insert(work, record);
+        self.request_load(&record, now);
+        self.requests.insert(work, record);
         self.actions.push(AgentAction::Accept { work });
     }
 
-    fn want_load(&mut self, record: &WorkRecord, now: Timestamp) {
+    fn request_load(&mut self, record: &WorkRecord, now: Timestamp) {
         if let WorkItem::Completion { key, .. } = &record.offer.item
             && !self.residents.is_present(key)
-            && let Some(urgency) = self.loads.want(key, record.offer.priority, now)
+            && let Some(urgency) = self.loads.request(key, record.offer.priority, now)
         {
             self.actions.push(AgentAction::AskPermit { key: key.clone(), urgency });
         }
     }
 
-    /// Wants a load again for all accepted work whose adapter has gone, as after a restart.
-    fn want_missing(&mut self, now: Timestamp) {
-        let works = std::mem::take(&mut self.works);
-        for record in works.values().filter(|record| record.phase != WorkPhase::Running) {
-            self.want_load(record, now);
+    /// Requests loads for all accepted work whose adapter is no longer resident, as after a restart.
+    fn request_missing_loads(&mut self, now: Timestamp) {
+        let requests = std::mem::take(&mut self.requests);
+        for record in requests.values().filter(|record| record.phase != WorkPhase::Running) {
+            self.request_load(record, now);
         }
-        self.works = works;
+        self.requests = requests;
     }
 
     fn released(&mut self, work: WorkId) {
-        let Some(record) = self.works.get_mut(&work) else { return };
+        let Some(record) = self.requests.get_mut(&work) else { return };
         if matches!(record.phase, WorkPhase::Reserved(_)) {
             record.phase = WorkPhase::Queued;
             self.queue.push(QueuedWork::new(&record.offer));
@@ -274,10 +276,10 @@
     }
 
     fn cancelled(&mut self, work: WorkId) {
-        let Some(record) = self.works.get(&work) else { return };
+        let Some(record) = self.requests.get(&work) else { return };
         match record.phase {
-            // Work that the target may have begun is its own to end; a non-idempotent request runs
-            // on, because aborting it would leave its effect half done and its result unknown.
+            // A non-idempotent request that runs is not aborted, because that would leave its effect
+            // half done and its outcome unknown.
             WorkPhase::Running if record.offer.idempotent => {
                 self.actions.push(AgentAction::Abort { work });
             }
@@ -287,7 +289,7 @@
     }
 
     fn finished(&mut self, work: WorkId, service_time: Duration, now: Timestamp) {
-        let Some(record) = self.works.get(&work) else { return };
+        let Some(record) = self.requests.get(&work) else { return };
         if record.phase != WorkPhase::Running {
             return;
         }
@@ -298,10 +300,10 @@
         self.forget(work);
     }
 
-    /// The engine refused the request because it does not hold the adapter, so nothing ran: it goes
-    /// back to the queue and the adapter is loaded again.
+    /// Requeues a request that the engine refused because it does not hold the adapter, and requests
+    /// the load again. The request has not run.
     fn adapter_missing(&mut self, work: WorkId, now: Timestamp) {
-        let Some(record) = self.works.get_mut(&work) else { return };
+        let Some(record) = self.requests.get_mut(&work) else { return };
         if record.phase != WorkPhase::Running {
             return;
         }
@@ -310,9 +312,9 @@
         self.running -= 1;
         self.queue.push(QueuedWork::new(&record.offer));
         if let WorkItem::Completion { key, .. } = &record.offer.item {
-            self.residents.lose(key);
+            self.residents.mark_missing(key);
         }
-        self.want_missing(now);
+        self.request_missing_loads(now);
     }
 
     fn load_ended(&mut self, key: &AdapterKey, result: LoadResult, took: Duration, now: Timestamp) {
@@ -320,7 +322,7 @@
             LoadResult::Loaded => {
                 self.residents.load_ended(key, true, now);
                 self.loads.loaded(key, took);
-                self.settle_stalls(key, now);
+                self.record_stalls(key, now);
             }
             LoadResult::Failed | LoadResult::StoreBusy => {
                 self.residents.load_ended(key, false, now);
@@ -331,8 +333,8 @@
         }
     }
 
-    fn settle_stalls(&mut self, key: &AdapterKey, now: Timestamp) {
-        for record in self.works.values_mut().filter(|record| record.offer.needs(key)) {
+    fn record_stalls(&mut self, key: &AdapterKey, now: Timestamp) {
+        for record in self.requests.values_mut().filter(|record| record.offer.needs(key)) {
             record.stall.get_or_insert(now.saturating_sub(record.accepted));
         }
     }
@@ -341,45 +343,47 @@
         let waits =
             |record: &&WorkRecord| record.phase != WorkPhase::Running && record.offer.needs(key);
         let waiters: Vec<WorkId> =
-            self.works.values().filter(waits).map(|record| record.offer.work).collect();
+            self.requests.values().filter(waits).map(|record| record.offer.work).collect();
         for work in waiters {
             self.refuse_accepted(work, RefusalReason::LoadFailed);
         }
     }
 
-    /// Work that the target does not have yet had better go elsewhere.
-    fn target_rests(&mut self, rest: Duration, now: Timestamp) {
-        self.statement.record_backoff(rest, now);
+    /// Starts the backoff that the target asked for, and refuses all waiting work, so that entries can
+    /// offer it to other targets.
+    fn start_backoff(&mut self, backoff: Duration, now: Timestamp) {
+        self.advertised.record_backoff(backoff, now);
         let is_waiting = |record: &&WorkRecord| record.phase != WorkPhase::Running;
         let waiting: Vec<WorkId> =
-            self.works.values().filter(is_waiting).map(|record| record.offer.work).collect();
+            self.requests.values().filter(is_waiting).map(|record| record.offer.work).collect();
         for work in waiting {
-            let refusal = self.rest_refusal(now);
+            let refusal = self.backoff_refusal(now);
             self.refuse_with(work, refusal);
         }
     }
 
-    /// One that comes back after it was down is taken for a new incarnation: not all targets tell of their
-    /// starts.
+    /// Records whether the target answers. One that was down and answers again counts as a new incarnation,
+    /// because not all targets report their start.
     fn set_target_up(&mut self, up: bool) {
         if up && !self.target_up {
-            self.statement = AdvertisedState::default();
+            self.advertised = AdvertisedState::default();
         }
         self.target_up = up;
     }
 
     fn target_restarted(&mut self, now: Timestamp) {
-        self.statement = AdvertisedState::default();
+        self.advertised = AdvertisedState::default();
         self.residents.clear();
         self.loads.forget_started();
-        self.want_missing(now);
+        self.request_missing_loads(now);
     }
 
-    /// Refuses accepted work whose time has run out, or whose load cannot end in time. It was never
-    /// handed on, so the refusal is true, and giving it now leaves the caller time to act.
+    /// Refuses accepted work that has passed its deadline or whose reservation has expired. It was never
+    /// sent to the target, so it is certain that it did not run; the early refusal leaves the caller time
+    /// to act.
     fn expire(&mut self, now: Timestamp) {
         let late: Vec<WorkId> = self
-            .works
+            .requests
             .values()
             .filter(|record| Self::is_late(record, now))
             .map(|record| record.offer.work)
@@ -392,7 +396,7 @@
     fn is_late(record: &WorkRecord, now: Timestamp) -> bool {
         match record.phase {
             WorkPhase::Running => false,
-            WorkPhase::Reserved(lapses) => now >= lapses.min(record.deadline),
+            WorkPhase::Reserved(expires) => now >= expires.min(record.deadline),
             WorkPhase::Queued => now >= record.deadline,
         }
     }
@@ -408,14 +412,14 @@
     }
 
     fn forget(&mut self, work: WorkId) {
-        let Some(record) = self.works.remove(&work) else { return };
+        let Some(record) = self.requests.remove(&work) else { return };
         if record.phase == WorkPhase::Running {
             self.running -= 1;
         }
         self.queue.remove(work);
         if let WorkItem::Completion { key, .. } = &record.offer.item {
             self.residents.unpin(key);
-            if self.residents.pins(key) == 0 && self.loads.unwant(key) {
+            if self.residents.pins(key) == 0 && self.loads.cancel(key) {
                 self.actions.push(AgentAction::DropPermit { key: key.clone() });
             }
         }
