--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -1,9 +1,8 @@
-//! The loader: the only process that orders loads and unloads at the one engine beside it.
+//! The loader: the only process that orders loads and unloads at its host's engine.
 //!
-//! One host orders one engine, so orders need no lease: nobody else's can cross them. What remains
-//! is an order without an answer, which the engine may carry out seconds later. Each order names the
-//! order count that the engine must still have, so of all orders given on one count at most one takes
-//! effect, and the next report tells which.
+//! One loader orders one engine, so orders need no lease: no other process sends any. An order without an
+//! answer may still be carried out seconds later. Each order therefore names the order count that the engine
+//! must still have: of all orders on one count at most one takes effect, and the next report shows which.
 
 mod host_memory;
 pub mod load_limiter;
@@ -27,7 +26,7 @@
 use host_memory::HostMemory;
 use load_limiter::{LoadLimiter, LoadStart};
 use lost_orders::LostOrders;
-use replies::{EngineState, ToldMet};
+use replies::{AwaitedReport, EngineState};
 use std::{
     collections::{HashMap, HashSet},
     net::SocketAddr,
@@ -35,53 +34,53 @@
     time::Duration,
 };
 
-/// Adapters that may be on their way to an engine at once, as the engines allow.
+/// Maximum of concurrent adapter loads of an engine, as the engines allow.
 pub const MAX_CONCURRENT_LOADS: usize = 4;
-/// Age after which a router's notice counts no more; routers send one at least each second.
+/// Age after which a router's notice is dropped; routers send one at least every second.
 const NOTICE_TTL: Duration = Duration::from_millis(2_500);
-/// Time for which a load request must have waited before an adapter in use gives way to it. The unload waits
-/// for the runs of the adapter, and all other loads of the engine wait for the unload, so this is the last
-/// resort: at 0.4 s, an engine whose runs had become slow stood still most of the time.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Half-life of the demand by which adapters are kept. An engine has some 14 slots and loads a dozen
-/// rare adapters a second: kept by their last use, even those wanted twice a second would be gone before
-/// their next call. Popularity moves within some seconds, so the memory must not be longer.
+/// Time for which a load request must have waited before an adapter in use is evicted for it. The unload
+/// waits for the runs of the adapter, and all other loads of the engine wait for the unload: at 0.4 s, an
+/// engine whose runs had become slow loaded nothing most of the time.
+const EVICTION_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Half-life of the demand that decides which adapters are kept. An engine has about 14 slots and loads a
+/// dozen rare adapters a second: under LRU, even adapters used twice a second would be evicted before their
+/// next call. Popularity changes within seconds, so the half-life must not be longer.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(5);
-/// Time for which an adapter counts as in use after a router told of a new call for it, beside those that
-/// routers say run: other calls may be on their way.
-const JUST_USED: Duration = Duration::from_millis(150);
-/// Adapters whose demand is remembered; beyond it the least wanted are forgotten.
+/// Time for which an adapter counts as in use after a router reported a new call for it, besides the calls
+/// reported as running: others may be in transit.
+const RECENT_USE_TIME: Duration = Duration::from_millis(150);
+/// Adapters whose demand is counted; above it those below [`DEMAND_FLOOR`] are dropped.
 const DEMAND_LIMIT: usize = 1_024;
-/// Demand below which an adapter is forgotten when there are too many.
+/// Demand below which an adapter is dropped when there are too many.
 const DEMAND_FLOOR: f64 = 0.1;
-/// Time of a load from the host's memory as a part of one from the weight store, as the engines state.
-const NEAR_SHARE: f64 = 0.1;
-/// Part of the time of a load from the weight store from which one cannot have come from the host's memory.
-const FAR_SHARE: f64 = 0.5;
-/// Pause between reports asked of the engine while something is on its way: a load from the host's
-/// memory takes 25 ms, and calls wait for it.
+/// Time of a load from host memory as a share of one from the weight store, as the engines specify.
+const HOST_MEMORY_SHARE: f64 = 0.1;
+/// Share of the time of a load from the weight store above which a load did not come from host memory.
+const STORE_SHARE: f64 = 0.5;
+/// Interval of polling the engine's report during a load: one from host memory takes 25 ms, and calls wait
+/// for it.
 const FAST_POLL: Duration = Duration::from_millis(12);
-/// The same once a load has lasted longer than one from the host's memory.
+/// The same once a load has lasted longer than one from host memory.
 const SLOW_POLL: Duration = Duration::from_millis(25);
-/// Time after an order for which [`FAST_POLL`] holds.
-const FAST_SPAN: Duration = Duration::from_millis(60);
-/// Pause between reports while nothing is on its way; shows a draining or restarted engine.
+/// Time after an order during which [`FAST_POLL`] applies.
+const FAST_POLL_TIME: Duration = Duration::from_millis(60);
+/// Polling interval while nothing is being loaded; detects a draining or restarted engine.
 const IDLE_POLL: Duration = Duration::from_millis(500);
-/// Pause after an engine did not answer.
-const DARK_POLL: Duration = Duration::from_millis(250);
-/// Pause after an order that the engine turned down, so that a refusal cannot become a busy loop.
+/// Polling interval while the engine does not answer.
+const UNRESPONSIVE_POLL: Duration = Duration::from_millis(250);
+/// Pause after an order that the engine refused, so that refusals do not cause a busy loop.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the loader does next.
+/// The loader's next action.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoaderStep {
-    /// Ask which incarnation of the engine this is.
+    /// Query the engine's incarnation.
     Identify,
-    /// Ask for a report.
+    /// Query the engine's report.
     Poll,
-    /// Give an order.
+    /// Send an order to the engine.
     Order(EngineOrder),
-    /// Wait for a notice, until this time at the latest.
+    /// Wait for a router's notice, until this time at the latest.
     Wait(Timestamp),
 }
 
@@ -90,20 +89,20 @@
     received: Timestamp,
     /// When each load request was first seen.
     requested: HashMap<AdapterId, Timestamp>,
-    /// Load requests met since the notice came. The router withdraws a request only with its next notice;
-    /// until then it must not ask for a load again when its adapter has been evicted meanwhile.
+    /// Load requests met since the notice arrived. The router drops a request only with its next notice;
+    /// if the adapter is evicted before that, the old request must not cause a second load.
     met: HashSet<AdapterId>,
-    /// Whether it wants a report and has had none since.
+    /// Whether it has requested a report and has not been sent one since.
     wants_report: bool,
-    /// What it was last told of the adapters for which its calls wait.
-    told_met: Option<ToldMet>,
+    /// What it was last sent about the adapters that its calls wait for.
+    last_awaited: Option<AwaitedReport>,
 }
 
-/// How much an adapter was wanted at the engine.
+/// Demand for an adapter at the engine.
 struct AdapterDemand {
-    /// Decides what is kept.
+    /// Decides which adapters are kept.
     lasting: DecayedCount,
-    /// Decides how many engines hold it.
+    /// Reported to routers; decides how many engines hold the adapter.
     recent: DecayedCount,
 }
 
@@ -121,7 +120,7 @@
     }
 }
 
-/// The state machine.
+/// State machine of one loader and its engine.
 pub struct LoaderMachine {
     boot: BootId,
     sequence: u32,
@@ -135,30 +134,30 @@
     notices: HashMap<SocketAddr, NoticeState>,
     demand: HashMap<AdapterId, AdapterDemand>,
     lost: LostOrders,
-    /// Loads on their way.
+    /// Loads in progress.
     loading: HashMap<AdapterId, LoadStart>,
     load_limiter: LoadLimiter,
     backlog: PrefillBacklog,
     memory: HostMemory,
     /// Whether the engine has reported since this process started.
-    has_met: bool,
-    /// Loads for calls in time since the last one for a late call.
+    has_reported: bool,
+    /// Loads for calls in time since the last load for a late call.
     timely_loads: u8,
-    /// What all routers were last told of the engine's state.
-    told_state: Option<EngineState>,
-    /// What routers last offered to put on an empty engine. Kept when no router has calls here: an engine
-    /// that starts again empty is filled before the next call comes.
+    /// The engine's state as all routers were last sent it.
+    reported_state: Option<EngineState>,
+    /// Base models that routers last offered for an empty engine. Kept while no router has calls here, so
+    /// that an engine that restarts empty gets its base model before the next call.
     offer: Option<EngineOffer>,
 }
 
-/// Base models that an engine may be given, and its room for them.
+/// Base models that may be loaded on the engine, and its memory for them.
 struct EngineOffer {
     bases: Vec<BaseOffer>,
     memory_mb: f32,
 }
 
 impl LoaderMachine {
-    /// Starts knowing nothing; `boot` tells this start from others.
+    /// Starts without any state; `boot` identifies this start of the process.
     pub fn new(boot: BootId) -> Self {
         Self {
             boot,
@@ -177,27 +176,27 @@
             load_limiter: LoadLimiter::new(MAX_CONCURRENT_LOADS),
             backlog: PrefillBacklog::default(),
             memory: HostMemory::default(),
-            has_met: false,
+            has_reported: false,
             timely_loads: 0,
-            told_state: None,
+            reported_state: None,
             offer: None,
         }
     }
 
-    /// The incarnation of the engine that is ordered.
+    /// The engine's incarnation; `None` until the engine was identified and has reported.
     pub fn incarnation(&self) -> Option<TargetIncarnation> {
         let id = self.instance.clone()?;
         Some(TargetIncarnation { id, started: self.report.as_ref()?.started })
     }
 
-    /// Last report of the engine.
+    /// Last report of the engine; `None` before the first one of its incarnation.
     pub fn report(&self) -> Option<&EngineReport> {
         self.report.as_ref()
     }
 
-    /// Loads on their way from the weight store, and the gauge that bounds them.
+    /// Number of loads in progress from the weight store, and the limiter that bounds it.
     pub fn load_limiter(&self) -> (usize, &LoadLimiter) {
-        (self.far_loads(), &self.load_limiter)
+        (self.store_loads(), &self.load_limiter)
     }
 
     /// Age of the last report at `now`.
@@ -205,7 +204,7 @@
         now.saturating_sub(self.polled)
     }
 
-    /// Takes a router's notice; an older one of the same start is dropped.
+    /// Applies a router's notice; one that is older, from the same start, is dropped.
     pub fn take_notice(&mut self, router: SocketAddr, notice: RouterNotice, now: Timestamp) {
         let is_old = self.notices.get(&router).is_some_and(|state| {
             state.notice.boot == notice.boot && state.notice.sequence >= notice.sequence
@@ -239,16 +238,16 @@
             requested: requested.collect(),
             met: HashSet::new(),
             wants_report: notice.wants_report || known.is_some_and(|state| state.wants_report),
-            told_met: known
+            last_awaited: known
                 .filter(|state| has_same_requests(state, &notice))
-                .and_then(|s| s.told_met),
+                .and_then(|s| s.last_awaited),
             received: now,
             notice,
         };
         self.notices.insert(router, state);
     }
 
-    /// The engine told which incarnation this is. A new incarnation holds nothing that is known.
+    /// Applies the id that the engine answered. The last report does not apply to another incarnation.
     pub fn take_instance(&mut self, instance: InstanceId) {
         if self.instance.as_ref() != Some(&instance) {
             self.report = None;
@@ -257,23 +256,23 @@
         self.instance = Some(instance);
     }
 
-    /// The engine reported.
+    /// Applies a report of the engine.
     pub fn take_report(&mut self, report: EngineReport, now: Timestamp) {
-        let is_reborn =
+        let is_restarted =
             self.report.as_ref().is_some_and(|known| is_later_incarnation(known, &report));
-        if is_reborn {
+        if is_restarted {
             self.begin_incarnation();
         } else if !self.is_answering && report.started.is_none() {
-            // Without its start, an incarnation that has ordered as much as the last one looks the same.
+            // Without a start time, a new incarnation with the same order count cannot be told from the last.
             self.instance = None;
         }
-        if !std::mem::replace(&mut self.has_met, true) && report.order_count > 0 {
+        if !std::mem::replace(&mut self.has_reported, true) && report.order_count > 0 {
             self.load_limiter = LoadLimiter::new(MAX_CONCURRENT_LOADS).with_unknown_memory();
         }
         self.is_answering = true;
         self.polled = now;
-        let is_moving = !report.loading.is_empty() || report.is_busy;
-        let pause = match (is_moving, now.saturating_sub(self.ordered) < FAST_SPAN) {
+        let is_changing = !report.loading.is_empty() || report.is_busy;
+        let pause = match (is_changing, now.saturating_sub(self.ordered) < FAST_POLL_TIME) {
             (false, _) => IDLE_POLL,
             (true, true) => FAST_POLL,
             (true, false) => SLOW_POLL,
@@ -284,7 +283,7 @@
         self.report = Some(report);
     }
 
-    /// What was known of the engine is no longer true, and what was met may be requested again.
+    /// Resets the state of the earlier incarnation; requests that were met count again.
     fn begin_incarnation(&mut self) {
         self.instance = None;
         self.lost.begin_incarnation();
@@ -296,7 +295,7 @@
         }
     }
 
-    /// Learns from loads that have ended.
+    /// Records the times of loads that have ended.
     fn note_loaded(&mut self, report: &EngineReport, now: Timestamp) {
         let ended: Vec<AdapterId> =
             self.loading.keys().filter(|id| !report.is_loading(id)).cloned().collect();
@@ -306,9 +305,9 @@
                 continue;
             }
             let time = now.saturating_sub(start.at);
-            if !start.is_near {
+            if !start.from_host_memory {
                 self.load_limiter.record(time);
-            } else if time > self.load_limiter.expected().mul_f64(FAR_SHARE) {
+            } else if time > self.load_limiter.expected().mul_f64(STORE_SHARE) {
                 self.memory.forget_older(&id);
             }
             self.memory.note(id, now);
@@ -318,7 +317,7 @@
     /// How long a load that begins now is expected to take.
     fn expected_load(&self, id: &AdapterId) -> Duration {
         let time = self.load_limiter.expected();
-        if self.memory.holds(id) { time.mul_f64(NEAR_SHARE) } else { time }
+        if self.memory.holds(id) { time.mul_f64(HOST_MEMORY_SHARE) } else { time }
     }
 
     fn note_met(&mut self, report: &EngineReport) {
@@ -339,14 +338,14 @@
         self.demand.entry(adapter).or_default().add(f64::from(count), now);
     }
 
-    /// The engine did not answer the question for a report or for its incarnation.
+    /// The engine did not answer a query for its report or incarnation.
     pub fn note_silence(&mut self, now: Timestamp) {
         self.is_answering = false;
         self.polled = now;
-        self.next_poll = now + DARK_POLL;
+        self.next_poll = now + UNRESPONSIVE_POLL;
     }
 
-    /// The engine answered an order, or did not.
+    /// Applies the engine's answer to an order, or its absence.
     pub fn take_answer(&mut self, order: &EngineOrder, answer: OrderAnswer, now: Timestamp) {
         match answer {
             OrderAnswer::Accepted | OrderAnswer::Done => self.apply(order, answer, now),
@@ -357,18 +356,18 @@
             OrderAnswer::Conflict | OrderAnswer::Silent => {}
             OrderAnswer::Refused => self.not_before = now + REFUSED_PAUSE,
         }
-        let is_plain = matches!(answer, OrderAnswer::Accepted | OrderAnswer::Done);
-        if is_plain {
+        let was_accepted = matches!(answer, OrderAnswer::Accepted | OrderAnswer::Done);
+        if was_accepted {
             self.ordered = now;
             self.next_poll = self.next_poll.min(now + FAST_POLL);
         } else {
-            // Whatever is believed may be wrong now; the engine's own word comes first.
+            // The known state may be wrong now: query the engine's report before the next order.
             self.next_poll = now;
             self.not_before = self.not_before.max(now + REFUSED_PAUSE);
         }
     }
 
-    /// Drops what has outlived its time and says what comes next.
+    /// Drops expired state and returns the next action.
     pub fn next_step(&mut self, now: Timestamp) -> LoaderStep {
         self.notices.retain(|_, state| now.saturating_sub(state.received) < NOTICE_TTL);
         self.lost.expire(now);
@@ -394,10 +393,10 @@
         }
     }
 
-    /// Calls that use an adapter now, as far as is known.
+    /// Calls known to use an adapter now.
     fn uses(&self, id: &AdapterId, running: &HashMap<AdapterId, u32>, now: Timestamp) -> u32 {
         let demand = self.demand.get(id);
-        let is_fresh = demand.is_some_and(|demand| demand.lasting.age(now) < JUST_USED);
+        let is_fresh = demand.is_some_and(|demand| demand.lasting.age(now) < RECENT_USE_TIME);
         running.get(id).copied().unwrap_or(0) + u32::from(is_fresh)
     }
 
@@ -411,9 +410,9 @@
         let Some(report) = &mut self.report else { return };
         report.order_count = order.order_count + 1;
         if let OrderVerb::LoadAdapter(adapter, _) = &order.verb {
-            self.count_turn(adapter, now);
-            // Routers tell of uses only now and then. Without this a new adapter would count as never
-            // used, and be the first to go before its first call was heard of.
+            self.count_timely_load(adapter, now);
+            // Routers report uses only now and then. Without this a new adapter would count as unused and
+            // be evicted before its first call is reported.
             self.record_demand(adapter.clone(), 1, now);
         }
         let Some(report) = &mut self.report else { return };
@@ -421,11 +420,12 @@
             OrderVerb::LoadBase(_) => report.is_busy = answer == OrderAnswer::Accepted,
             OrderVerb::LoadAdapter(adapter, version) => {
                 if answer == OrderAnswer::Accepted {
-                    // A replacement waits for the runs of the old version, so its time says nothing of the
+                    // A replacement waits for the runs of the old version, so its time says nothing about the
                     // weight store.
                     if report.held(adapter).is_none() {
-                        let is_near = self.memory.holds(adapter);
-                        self.loading.insert(adapter.clone(), LoadStart { at: now, is_near });
+                        let from_host_memory = self.memory.holds(adapter);
+                        self.loading
+                            .insert(adapter.clone(), LoadStart { at: now, from_host_memory });
                     }
                     report.loading.push((adapter.clone(), *version));
                 } else if let Some(holding) = report.holding_mut(&adapter.base) {
@@ -458,8 +458,8 @@
     }
 }
 
-/// Whether an engine that reports anew has started again: its start is another one, or its order count
-/// has fallen, which never happens within an incarnation.
+/// Whether the engine has restarted between two reports: its start time differs, or its order count has
+/// fallen, which never happens within an incarnation.
 fn is_later_incarnation(known: &EngineReport, report: &EngineReport) -> bool {
     let is_other_start = match (known.started, report.started) {
         (Some(known), Some(started)) => known != started,
--- a/crates/core/src/direct/loader/lost_orders.rs
+++ b/crates/core/src/direct/loader/lost_orders.rs
@@ -1,16 +1,15 @@
-//! Orders that got no answer, and that an engine may still carry out in a later incarnation.
+//! Orders without an answer, which an engine may still carry out in a later incarnation.
 //!
-//! An engine checks the order count that an order names only when it carries the order out. Within one
-//! incarnation that is enough: the count never comes back. An engine that starts again under the same id
-//! counts from 0, passes the same counts once more, and a load that was lost before may then take effect on
-//! top of what the loader has ordered since. An engine that is made to hold more than it has room for
-//! crashes.
+//! An engine checks an order's count only when it carries the order out. Within one incarnation that is
+//! enough: the count never repeats. An engine that restarts under the same id counts from 0 again; when it
+//! reaches the same count, a load lost before may take effect on top of what the loader has ordered since.
+//! An engine that has to hold more adapters than it has slots crashes.
 
 use crate::{direct::membership::InstanceId, ids::Timestamp};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
-/// Time after which an order that got no answer is taken to be gone for good. They are carried out some
-/// seconds late; this is several times that, and costs one slot of an engine for as long.
+/// Time after which an order without an answer counts as lost. Such orders are carried out some seconds
+/// late; this is several times that, and reserves one slot of an engine for as long.
 const LOST_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
@@ -21,7 +20,7 @@
     given: Timestamp,
 }
 
-/// Loads without an answer, by the incarnation of the engine to which they were given.
+/// Loads without an answer, with the incarnation of the engine that they were sent to.
 #[derive(Debug, Default)]
 pub(super) struct LostOrders {
     orders: Vec<LostOrder>,
@@ -29,7 +28,7 @@
 }
 
 impl LostOrders {
-    /// A load at an order count got no answer.
+    /// Records a load on an order count that got no answer.
     pub(super) fn note(&mut self, id: &InstanceId, order_count: u64, now: Timestamp) {
         self.orders.push(LostOrder {
             id: Arc::clone(id),
@@ -39,18 +38,18 @@
         });
     }
 
-    /// The engine began another incarnation.
+    /// Marks all recorded loads as sent to an earlier incarnation.
     pub(super) fn begin_incarnation(&mut self) {
         self.incarnation_number += 1;
     }
 
-    /// Forgets what has outlived its time.
+    /// Drops loads older than [`LOST_TTL`].
     pub(super) fn expire(&mut self, now: Timestamp) {
         self.orders.retain(|order| now.saturating_sub(order.given) < LOST_TTL);
     }
 
-    /// Slots that loads lost in earlier incarnations under the same id may yet take from an engine that has
-    /// reached `order_count`. Of those at one count at most one takes effect.
+    /// Slots that loads lost in earlier incarnations under the same id may still occupy at an engine that has
+    /// reached `order_count`. Of those on one count at most one takes effect.
     pub(super) fn slots(&self, id: &InstanceId, order_count: u64) -> usize {
         let earlier = self.orders.iter().filter(|order| {
             order.incarnation_number != self.incarnation_number
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -1,6 +1,6 @@
-//! Which order comes next: the order of load requests, the window of loads, and what gives way.
+//! The next order: priority of load requests, limit on concurrent loads, and eviction.
 
-use super::{LoaderMachine, MAX_CONCURRENT_LOADS, PATIENCE, requested_adapter};
+use super::{EVICTION_PATIENCE, LoaderMachine, MAX_CONCURRENT_LOADS, requested_adapter};
 use crate::{
     direct::{
         call::AdapterId,
@@ -11,13 +11,13 @@
 };
 use std::{cmp::Reverse, sync::Arc, time::Duration};
 
-/// Loads for calls in time after which a late call has its turn. Without it late calls wait until their
-/// callers leave: of the calls in the ten seconds after a cold start 4 in 100 more were not served at all.
+/// Loads for calls in time after which a late call goes first. Otherwise late calls starve until their callers
+/// give up: in the ten seconds after a cold start, 4 % more of the calls were not served at all.
 const TIMELY_LOADS: u8 = 3;
 
 impl LoaderMachine {
-    /// Counts a load towards the turn of late calls.
-    pub(super) fn count_turn(&mut self, adapter: &AdapterId, now: Timestamp) {
+    /// Counts a load for a call in time; a load for a late call resets the count.
+    pub(super) fn count_timely_load(&mut self, adapter: &AdapterId, now: Timestamp) {
         let load_requests = self.notices.values().flat_map(|state| &state.notice.load_requests);
         let mut own = load_requests
             .filter(|request| requested_adapter(request) == *adapter && request.waiting > 0);
@@ -35,10 +35,10 @@
         if report.loading.len() >= MAX_CONCURRENT_LOADS {
             return None;
         }
-        let load_requests = self.requests_in_order(report, now);
-        let far = self.far_loads();
+        let load_requests = self.sorted_requests(report, now);
+        let store_loads = self.store_loads();
         let (request, since) =
-            load_requests.iter().find(|(request, _)| self.may_begin(request, far))?;
+            load_requests.iter().find(|(request, _)| self.may_begin(request, store_loads))?;
         let adapter = requested_adapter(request);
         let is_replacement = report.held(&adapter).is_some();
         let reserved = self.reserved_slots(report);
@@ -48,27 +48,27 @@
         self.victim(report, request, now.saturating_sub(*since), now).map(OrderVerb::UnloadAdapter)
     }
 
-    /// Loads on their way from the weight store.
-    pub(super) fn far_loads(&self) -> usize {
-        self.loading.values().filter(|start| !start.is_near).count()
+    /// Number of loads in progress from the weight store.
+    pub(super) fn store_loads(&self) -> usize {
+        self.loading.values().filter(|start| !start.from_host_memory).count()
     }
 
-    /// Whether a load may begin while `far` others are on their way from the weight store. One from the
-    /// host's memory takes nothing of the store, and one ahead of calls waits while others need it.
-    fn may_begin(&self, request: &LoadRequest, far: usize) -> bool {
+    /// Whether a load may begin while `store_loads` others from the weight store are in progress. A load from
+    /// host memory does not use the store, and a prefetch waits while the store is congested.
+    fn may_begin(&self, request: &LoadRequest, store_loads: usize) -> bool {
         if self.memory.holds(&requested_adapter(request)) {
             return true;
         }
-        far < self.load_limiter.window()
+        store_loads < self.load_limiter.window()
             && (request.waiting > 0 || !self.load_limiter.is_congested())
     }
 
-    /// Slots kept free for loads that an earlier incarnation of the engine never answered.
+    /// Slots kept free for loads that an earlier incarnation of the engine left unanswered.
     fn reserved_slots(&self, report: &EngineReport) -> usize {
         self.instance.as_ref().map_or(0, |id| self.lost.slots(id, report.order_count))
     }
 
-    /// The base model to put on an empty engine: the one that most calls wait for, else the first.
+    /// The base model to load on an empty engine: the one that most calls wait for, else the first that fits.
     fn wanted_base(&self) -> Option<BaseName> {
         let offer = self.offer.as_ref()?;
         let fitting = offer.bases.iter().filter(|base| base.weights_mb <= offer.memory_mb);
@@ -77,32 +77,31 @@
             let own = load_requests.filter(|request| request.base == *base);
             own.map(|request| u32::from(request.waiting)).sum()
         };
-        // Of equals the first: `max_by_key` would take the last.
+        // Of equals the first one: `max_by_key` returns the last.
         let best = fitting.rev().max_by_key(|base| waiting(&base.base));
         best.map(|base| Arc::clone(&base.base))
     }
 
-    /// Open load requests in the order of their loads: first those of calls that can still meet their
-    /// objective, then those of calls that are late already, then those ahead of calls. While the weight
-    /// store is overloaded, a load for a late call makes another one late too; but late calls have their turn
-    /// now and then.
-    fn requests_in_order(
+    /// Unmet load requests in the order of their loads: first for calls that can still meet their objective,
+    /// then for calls that are late already, then prefetches. While the weight store is overloaded, a load for
+    /// a late call makes another call late too; so a late call goes first only after [`TIMELY_LOADS`] others.
+    fn sorted_requests(
         &self,
         report: &EngineReport,
         now: Timestamp,
     ) -> Vec<(&LoadRequest, Timestamp)> {
-        let mut load_requests = self.open_requests(report);
-        let is_late_turn = self.timely_loads >= TIMELY_LOADS;
+        let mut load_requests = self.unmet_requests(report);
+        let is_late_first = self.timely_loads >= TIMELY_LOADS;
         load_requests.sort_by_cached_key(|(request, since)| {
             let callers = Reverse(self.waiting_calls(&requested_adapter(request)));
-            let is_behind = self.is_in_time(request, now) == is_late_turn;
-            (request.waiting == 0, is_behind, callers, request.priority, *since)
+            let goes_after = self.is_in_time(request, now) == is_late_first;
+            (request.waiting == 0, goes_after, callers, request.priority, *since)
         });
         load_requests
     }
 
-    /// Load requests that nothing held or loading meets, and since when each was seen.
-    pub(super) fn open_requests(&self, report: &EngineReport) -> Vec<(&LoadRequest, Timestamp)> {
+    /// Load requests that no adapter held or loading meets, with the time when each was first seen.
+    pub(super) fn unmet_requests(&self, report: &EngineReport) -> Vec<(&LoadRequest, Timestamp)> {
         let mut load_requests: Vec<(&LoadRequest, Timestamp)> = Vec::new();
         for state in self.notices.values() {
             for request in &state.notice.load_requests {
@@ -120,7 +119,7 @@
         load_requests
     }
 
-    /// Calls of all routers that wait for an adapter.
+    /// Number of calls of all routers that wait for an adapter.
     pub(super) fn waiting_calls(&self, adapter: &AdapterId) -> u32 {
         let load_requests = self.notices.values().flat_map(|state| &state.notice.load_requests);
         let own = load_requests
@@ -128,7 +127,7 @@
         own.map(|request| u32::from(request.waiting)).sum()
     }
 
-    /// Whether a call that waits meets its objective if its adapter is loaded now.
+    /// Whether a waiting call can meet its objective if its adapter is loaded now.
     pub(super) fn is_in_time(&self, request: &LoadRequest, now: Timestamp) -> bool {
         let adapter = requested_adapter(request);
         let load = self.expected_load(&adapter);
@@ -143,8 +142,8 @@
         })
     }
 
-    /// The adapter that gives way: not in use, not requested, least wanted lately. One in use gives way
-    /// only to a call that has waited for longer than [`PATIENCE`].
+    /// The adapter to evict: the one with the fewest calls, then with the least demand. One in use is evicted
+    /// only for a call that has waited for longer than [`EVICTION_PATIENCE`].
     fn victim(
         &self,
         report: &EngineReport,
@@ -162,7 +161,7 @@
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then_with(|| a.2.cmp(&b.2))
         };
         let (in_use, _, id) = scored.min_by(least)?;
-        let may_go = in_use == 0 || (request.waiting > 0 && waited > PATIENCE);
-        may_go.then_some(id)
+        let may_evict = in_use == 0 || (request.waiting > 0 && waited > EVICTION_PATIENCE);
+        may_evict.then_some(id)
     }
 }
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -1,18 +1,18 @@
-//! Which routers are told of the engine now.
+//! Which routers are sent a report now.
 //!
-//! A router that asks is answered at once. Nobody else is told anything, but for two pieces of news that
-//! cannot wait for a question: an adapter has come for which calls of the router wait, and the engine has
-//! become silent, drains or has started again.
+//! A router that requests a report gets it at once. Other routers get one only on two changes that cannot wait
+//! for a request: an adapter that the router's calls wait for is loaded, and the engine has become
+//! unresponsive, drains or has restarted.
 
 use super::LoaderMachine;
 use crate::{direct::membership::TargetIncarnation, ids::Timestamp};
 use std::{net::SocketAddr, time::Duration};
 
-/// Pause after which a router is told again that an adapter is there for which its calls wait: datagrams
-/// are lost at times.
+/// Interval of repeated reports that an adapter is loaded for which the router's calls wait: datagrams may be
+/// lost.
 const AWAITED_PAUSE: Duration = Duration::from_millis(50);
 
-/// What all routers with calls or load requests here must know at once when it changes.
+/// The engine's state; every change is reported at once to all routers that sent notices.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct EngineState {
     incarnation: TargetIncarnation,
@@ -20,27 +20,27 @@
     is_draining: bool,
 }
 
-/// What a router was last told of the adapters for which its calls wait.
+/// The last report to a router about adapters that its calls wait for.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ToldMet {
+pub(super) struct AwaitedReport {
     at: Timestamp,
     adapters: usize,
 }
 
 impl LoaderMachine {
-    /// Routers that are due a report, which count as told.
+    /// Returns the routers that are due a report, and records them as informed.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         let Some(state) = self.engine_state() else { return Vec::new() };
-        let has_changes = self.told_state.as_ref() != Some(&state);
+        let has_changes = self.reported_state.as_ref() != Some(&state);
         let due = self.notices.keys().filter(|router| has_changes || self.is_due(router, now));
         let due: Vec<SocketAddr> = due.copied().collect();
         for router in &due {
             let adapters = self.awaited_adapters(router);
             let Some(state) = self.notices.get_mut(router) else { continue };
             state.wants_report = false;
-            state.told_met = Some(ToldMet { at: now, adapters });
+            state.last_awaited = Some(AwaitedReport { at: now, adapters });
         }
-        self.told_state = Some(state);
+        self.reported_state = Some(state);
         due
     }
 
@@ -56,13 +56,13 @@
     fn is_due(&self, router: &SocketAddr, now: Timestamp) -> bool {
         let Some(state) = self.notices.get(router) else { return false };
         let adapters = self.awaited_adapters(router);
-        let was_told = state.told_met.is_some_and(|told| {
-            told.adapters == adapters && now.saturating_sub(told.at) < AWAITED_PAUSE
+        let was_reported = state.last_awaited.is_some_and(|last| {
+            last.adapters == adapters && now.saturating_sub(last.at) < AWAITED_PAUSE
         });
-        state.wants_report || (adapters > 0 && !was_told)
+        state.wants_report || (adapters > 0 && !was_reported)
     }
 
-    /// Adapters that are there and for which calls of a router wait, as far as it has told.
+    /// Number of loaded adapters that a router's calls wait for, by its last notice.
     fn awaited_adapters(&self, router: &SocketAddr) -> usize {
         let load_requests =
             self.notices.get(router).into_iter().flat_map(|state| &state.notice.load_requests);
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -1,4 +1,4 @@
-//! What routers are told of the engine.
+//! The loader's report to routers.
 
 use super::{LoaderMachine, as_millis, requested_adapter};
 use crate::{
@@ -14,12 +14,12 @@
 use std::{sync::Arc, time::Duration};
 
 impl LoaderMachine {
-    /// What routers are told.
+    /// Makes the next report; `None` while the engine is not identified or has not reported.
     pub fn make_report(&mut self, now: Timestamp) -> Option<LoaderReport> {
         let incarnation = self.incarnation()?;
         let report = self.report.as_ref()?;
         self.sequence += 1;
-        let load_requests = self.open_requests(report);
+        let load_requests = self.unmet_requests(report);
         let awaited = load_requests
             .into_iter()
             .map(|(request, _)| request)
@@ -46,13 +46,13 @@
         })
     }
 
-    /// Calls a second for an adapter, those counted that wait for it.
+    /// Calls per second for an adapter, plus those that wait for it.
     fn rate(&self, adapter: &AdapterId, now: Timestamp) -> f64 {
         let started = self.demand.get(adapter).map_or(0.0, |demand| demand.recent.rate(now));
         started + f64::from(self.waiting_calls(adapter))
     }
 
-    /// Slots that are free or held by adapters that nobody uses, less the loads that wait for one.
+    /// Slots that are free or held by unused adapters, minus the loads that wait for a slot.
     fn free_slots(&self, report: &EngineReport, awaited: &[&LoadRequest], now: Timestamp) -> i32 {
         let newest = self.notices.values().max_by_key(|state| state.received);
         let slots = newest.map_or(0, |state| usize::from(state.notice.adapter_slots));
@@ -68,15 +68,15 @@
         adapters.map(|adapter| encode_rate(self.rate(&adapter, now))).collect()
     }
 
-    /// Wait before a load from the weight store can begin for a call that can still meet its objective;
-    /// it goes before those that cannot.
+    /// Wait before a load from the weight store can begin for a call that can still meet its objective; such
+    /// calls go before late ones.
     fn load_queue(&self, awaited: &[&LoadRequest], now: Timestamp) -> Duration {
         let waiting = awaited.iter().filter(|request| {
             self.is_in_time(request, now) && !self.memory.holds(&requested_adapter(request))
         });
-        let before = waiting.count() + self.far_loads();
+        let before = waiting.count() + self.store_loads();
         let window = self.load_limiter.window();
-        // With room in the window, a load begins at once.
+        // While the window is not full, a load begins at once.
         let turns = (before + 1).saturating_sub(window) as f64 / window as f64;
         self.load_limiter.expected().mul_f64(turns)
     }
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -1,5 +1,5 @@
-//! Choice of a target: one cost in milliseconds of expected wait, and the order of preferred targets
-//! of an adapter.
+//! Target selection: the target with the lowest cost, in milliseconds of expected wait, and the preferred
+//! targets of an adapter.
 
 use super::{
     backlog::TOKENS_PER_MS,
@@ -16,79 +16,80 @@
 use std::{cmp::Ordering, sync::Arc};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Cost of each call that an engine runs: a step takes 0.02 ms longer for each, over some 70 steps.
+/// Cost of each call that an engine runs: each adds 0.02 ms to a step, over about 70 steps.
 const ACTIVE_MS: f64 = 1.4;
-/// Part of a load's time for which an adapter that is on its way is waited for, on the mean.
-const COMING_SHARE: f64 = 0.5;
-/// Further cost of loading elsewhere than at a preferred target, in loads from the weight store. The store
-/// must give the adapter once more, where the preferred target's host may have it in its memory, and later
-/// calls that go to the preferred target gain nothing of it: so the load costs the fleet what it costs the
-/// call. More so than that, since the engine there has to evict an adapter that belongs there.
+/// Mean share of the load time that is left for an adapter that is being loaded already.
+const LOADING_SHARE: f64 = 0.5;
+/// Extra cost of a load at a target that is not preferred, as a multiple of a load from the weight store. The
+/// store transfers the adapter once more, while the preferred target's host may have it in memory, and later
+/// calls to the preferred target do not profit: the load costs the fleet what it costs the call. The factor is
+/// above 1 because the engine also evicts an adapter that is preferred there.
 const STRAY_LOADS: f64 = 1.6;
-/// The same at the target after the preferred ones, which gets what they cannot take, and with it later
-/// calls.
+/// The same at the spare target, the one after the preferred ones. It takes their overflow, and thus later
+/// calls for the adapter too.
 const SPARE_LOADS: f64 = 1.0;
-/// What another target must be better by for a call to leave the one where it waits for its adapter:
-/// the load there has begun, and one begun elsewhere starts over.
-const LEAVE_MS: f64 = 250.0;
-/// Cost of a target whose loader is silent, where a load is needed: nobody would order it.
+/// Advantage that another target needs for a call to move away from the one where it waits for its adapter:
+/// the load there has begun, and a load elsewhere starts from the beginning.
+const MOVE_MS: f64 = 250.0;
+/// Cost of a target that needs a load and whose loader is silent: no process would order the load.
 const NO_LOADER_MS: f64 = 5_000.0;
-/// Cost of a load at a target that turns calls away: when the adapter is there, there may be no room for the call.
-const CROWDED_LOAD_MS: f64 = 5_000.0;
-/// Cost of a failed call: about the objective that it misses.
+/// Cost of a load at a target that was recently saturated: once the adapter is loaded, the target may still
+/// refuse the call.
+const SATURATED_LOAD_MS: f64 = 5_000.0;
+/// Cost of a failed call: about the latency objective that it misses.
 const FAILURE_MS: f64 = 1_500.0;
 /// Cost of each call whose first byte is overdue.
 const OVERDUE_MS: f64 = 250.0;
-/// Cost of a target in another availability zone: two trips of some 1.5 ms, and bytes between zones.
+/// Cost of a target in another availability zone: two round trips of about 1.5 ms, and traffic between zones.
 const ZONE_MS: f64 = 6.0;
-/// Cost of a call of this router in flight at a plain service's target, beside what its answers take.
+/// Cost of each call that this router has in flight at a plain service's target, added to its latency.
 const PLAIN_CALL_MS: f64 = 15.0;
-/// Range of the random part that spreads near ties over the targets.
+/// Range of the random part that spreads calls over targets of nearly equal cost.
 const TIE_MS: f64 = 4.0;
-/// Calls a second that one copy of an adapter carries before another is wanted.
+/// Calls per second for each copy of an adapter.
 const CALLS_PER_COPY: f64 = 10.0;
 
-/// What a choice is made for.
+/// The call that needs a target, and what limits the choice.
 #[derive(Clone, Debug)]
 pub struct CallNeed<'a> {
-    /// The service.
+    /// Service that the call is for.
     pub service: &'a ServiceName,
     /// The model call, if the service is one of engines.
     pub model: Option<&'a ModelCall>,
     /// The router's zone.
     pub zone: &'a ZoneName,
-    /// Targets that had the call already.
+    /// Targets that the call was sent to already.
     pub excluded: &'a [TargetIncarnation],
-    /// Routers in all.
+    /// Number of routers in the fleet.
     pub routers: usize,
-    /// Target at which the call already waits for its adapter.
+    /// Target at which the call waits for its adapter; `None` before its first choice.
     pub waiting_at: Option<&'a TargetIncarnation>,
-    /// Whether a loader may still be asked before the choice.
+    /// Whether the router may request a loader's report before it decides.
     pub may_ask: bool,
 }
 
-/// What to do with a call.
+/// The next step for a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TargetChoice {
-    /// Send it; the version is what the target holds of the adapter.
+    /// Send it; the version is the one of the adapter that the target holds, `None` without an adapter.
     Send(TargetIncarnation, Option<AdapterVersion>),
-    /// Ask its loader, and choose again: what is known of it is old or nothing.
+    /// Request a report from the target's loader and choose again: the last report is too old or missing.
     Ask(TargetIncarnation),
-    /// Have the adapter loaded there, at this version at least, and send it then.
+    /// Have the adapter loaded there, at this version or a newer one, then send the call.
     Load(TargetIncarnation, AdapterId, AdapterVersion),
-    /// Engines are there, and their loaders put the base model on them: it will be served soon.
+    /// Engines are up but empty; wait until their loaders have loaded the base model.
     AwaitBase,
-    /// No target can take it.
+    /// No target can take the call.
     Nowhere,
 }
 
-/// The adapter that a call needs, if it is more than the base model.
+/// The adapter that a call needs; `None` if the base model is enough.
 pub fn adapter_of(call: &ModelCall) -> Option<AdapterId> {
     let name = call.need.adapter.as_ref()?;
     Some(AdapterId { base: Arc::clone(&call.need.base), name: Arc::clone(name) })
 }
 
-/// Chooses a target for a call; `draw` gives numbers uniform in 0 to 1.
+/// Chooses a target for a call; `draw` returns random numbers, uniform from 0 to 1.
 pub fn choose_target(
     pool: &TargetPool,
     need: &CallNeed<'_>,
@@ -102,14 +103,21 @@
         let cost = match need.model {
             None => plain_cost(target, need, now),
             Some(call) => {
-                let homes = preferred.as_deref().unwrap_or_default();
-                let is_waited = need.waiting_at == Some(&target.entry.incarnation);
-                engine_cost(pool, target, call, adapter.as_ref(), homes, is_waited, now)
-                    + zone_cost(target, need)
-                    + if is_waited {
-                        -LEAVE_MS
+                let preferred_incarnations = preferred.as_deref().unwrap_or_default();
+                let waits_there = need.waiting_at == Some(&target.entry.incarnation);
+                engine_cost(
+                    pool,
+                    target,
+                    call,
+                    adapter.as_ref(),
+                    preferred_incarnations,
+                    waits_there,
+                    now,
+                ) + zone_cost(target, need)
+                    + if waits_there {
+                        -MOVE_MS
                     } else {
-                        place_cost(pool, target, adapter.as_ref(), now)
+                        slot_wait_cost(pool, target, adapter.as_ref(), now)
                     }
             }
         };
@@ -135,8 +143,8 @@
     }
 }
 
-/// Expected time to an answer of a plain service whose calls wait, in milliseconds: that of its least
-/// loaded target. 0 where no calls wait.
+/// Expected latency of a plain service whose calls queue, in milliseconds: that of its fastest target.
+/// 0 if no calls queue.
 pub fn queued_plain_ms(pool: &TargetPool, need: &CallNeed<'_>, now: Timestamp) -> f64 {
     if !pool.shows_queue(need.service, need.routers) {
         return 0.0;
@@ -146,8 +154,8 @@
     expected.unwrap_or(0.0)
 }
 
-/// Targets where copies of an adapter belong, by rendezvous hashing: as many as its demand asks for,
-/// and one to spare at the end.
+/// The preferred targets of an adapter, by rendezvous hashing: as many as its demand needs, and one spare at
+/// the end.
 pub fn preferred_targets(
     pool: &TargetPool,
     need: &CallNeed<'_>,
@@ -164,13 +172,15 @@
             && !target.health.is_backing_off(now)
             && !target.is_unresponsive(now)
     });
-    // A target that turns calls away is no place for copies, unless all others do so too.
+    // A saturated target gets no copies, unless all targets are saturated.
     let mut weighted: Vec<(bool, u64, &TargetState)> = usable
         .map(|target| {
             (!target.was_recently_saturated(now), weight(key, &target.entry.incarnation.id), target)
         })
         .collect();
-    weighted.sort_unstable_by_key(|(has_room, weight, _)| std::cmp::Reverse((*has_room, *weight)));
+    weighted.sort_unstable_by_key(|(has_capacity, weight, _)| {
+        std::cmp::Reverse((*has_capacity, *weight))
+    });
     weighted.truncate(copies + 1);
     weighted.into_iter().map(|(_, _, target)| target.entry.incarnation.clone()).collect()
 }
@@ -193,9 +203,8 @@
         && !need.excluded.contains(&target.entry.incarnation)
 }
 
-/// Whether an engine has just started empty and its loader is not known to be silent: after a crash of all
-/// engines, the base model is back within a second or two, and callers that were turned away meanwhile
-/// would all have to come back for it.
+/// Whether an engine is up without the base model and its loader is not silent. After a crash of all engines
+/// the base model is loaded again within a second or two; callers refused meanwhile would all have to retry.
 fn awaits_base(pool: &TargetPool, need: &CallNeed<'_>, now: Timestamp) -> bool {
     need.model.is_some()
         && pool.service_targets(need.service).any(|target| {
@@ -209,7 +218,7 @@
     if target.entry.zone == *need.zone { 0.0 } else { ZONE_MS }
 }
 
-fn trouble_cost(target: &TargetState, now: Timestamp) -> f64 {
+fn failure_cost(target: &TargetState, now: Timestamp) -> f64 {
     let backoff = if target.health.is_backing_off(now) { 4.0 * FAILURE_MS } else { 0.0 };
     target.health.failure_share(now) * FAILURE_MS
         + f64::from(target.overdue) * OVERDUE_MS
@@ -220,7 +229,7 @@
 fn plain_cost(target: &TargetState, need: &CallNeed<'_>, now: Timestamp) -> f64 {
     f64::from(target.in_flight) * PLAIN_CALL_MS
         + target.latency.read_ms(now)
-        + trouble_cost(target, now)
+        + failure_cost(target, now)
         + zone_cost(target, need)
 }
 
@@ -230,13 +239,13 @@
     call: &ModelCall,
     adapter: Option<&AdapterId>,
     preferred: &[TargetIncarnation],
-    is_waited: bool,
+    waits_there: bool,
     now: Timestamp,
 ) -> f64 {
     let prefill = target.fleet_prefill_tokens(now) / TOKENS_PER_MS;
-    let stall =
-        adapter.map_or(0.0, |adapter| stall_cost(pool, target, adapter, preferred, is_waited, now));
-    prefill + stall + batch_cost(pool, target, call, now) + trouble_cost(target, now)
+    let stall = adapter
+        .map_or(0.0, |adapter| stall_cost(pool, target, adapter, preferred, waits_there, now));
+    prefill + stall + batch_cost(pool, target, call, now) + failure_cost(target, now)
 }
 
 fn batch_cost(pool: &TargetPool, target: &TargetState, call: &ModelCall, now: Timestamp) -> f64 {
@@ -247,13 +256,13 @@
     let used = report.map_or(0, |report| u64::from(report.kv_used));
     let wanted = u64::from(call.tokens_in + call.tokens_out);
     let is_saturated = active >= spec.batch || used + wanted > spec.kv_tokens;
-    // Those in the queue have their turns first, each when a run ends.
-    let turns = queued + u32::from(is_saturated);
-    // A full engine puts calls back when its memory runs out, and reads their prompts anew.
-    let again = if is_saturated { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
+    // Queued calls start first, one for each run that ends.
+    let runs_before = queued + u32::from(is_saturated);
+    // A saturated engine preempts calls when its KV cache is full, and processes their prompts again.
+    let reprocessing = if is_saturated { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
     f64::from(active) * ACTIVE_MS
-        + f64::from(turns) * pool.wait_estimates().batch_wait_ms(spec.batch)
-        + again
+        + f64::from(runs_before) * pool.wait_estimates().batch_wait_ms(spec.batch)
+        + reprocessing
 }
 
 fn stall_cost(
@@ -261,7 +270,7 @@
     target: &TargetState,
     adapter: &AdapterId,
     preferred: &[TargetIncarnation],
-    is_waited: bool,
+    waits_there: bool,
     now: Timestamp,
 ) -> f64 {
     let newest = pool.newest_version(adapter);
@@ -277,22 +286,23 @@
     if target.is_loader_silent(now) {
         return stray + NO_LOADER_MS;
     }
-    let stray = stray + if target.was_recently_saturated(now) { CROWDED_LOAD_MS } else { 0.0 };
+    let stray = stray + if target.was_recently_saturated(now) { SATURATED_LOAD_MS } else { 0.0 };
     let Some(report) = target.fresh_report(now) else {
         return stray + pool.wait_estimates().load_ms() + pool.wait_estimates().queue_ms();
     };
     let load = f64::from(report.load_ms);
     if target.is_loading(adapter, now) {
-        return stray + load * COMING_SHARE;
+        return stray + load * LOADING_SHARE;
     }
-    // The queue in which the call has its turn already holds itself.
-    let queue = if is_waited { 0.0 } else { f64::from(report.queue_ms) };
+    // A call that waits there already is itself part of the queue.
+    let queue = if waits_there { 0.0 } else { f64::from(report.queue_ms) };
     stray + load + queue
 }
 
-/// Wait for a slot for an adapter that must be loaded. It counts only where a call does not wait yet:
-/// one that does has its turn, and would lose it each time that slots come and go elsewhere.
-fn place_cost(
+/// Expected wait for an adapter slot, if the adapter must be loaded. The caller adds it only for targets
+/// where the call does not wait yet: otherwise a call would give up its place in the queue whenever slots
+/// become free elsewhere.
+fn slot_wait_cost(
     pool: &TargetPool,
     target: &TargetState,
     adapter: Option<&AdapterId>,
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of a target.
+//! Target selection.
 
 mod costs;
 mod limits;
@@ -16,7 +16,7 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Takes a report as from the host of its target.
+/// Applies a report as if it came from the host of its target.
 fn take_report(pool: &mut TargetPool, report: LoaderReport, now: Duration) -> bool {
     let host = pool.target(&report.incarnation).map(|target| target.entry.address.ip());
     pool.take_report(host.expect("a known target"), report, now)
@@ -55,8 +55,8 @@
     assert_eq!(sent_to(&choose(&pool, DESK, None, 0)), Some("d1"));
 }
 
-/// A target refuses or fails part of its calls while its health check is good. Callers see failures
-/// until its share of calls goes elsewhere, and it must get some again once it is well.
+/// A target fails part of its calls while its health check passes. Callers see failures until its calls go
+/// to other targets; after it recovers it must get calls again.
 #[test]
 fn a_failing_target_is_avoided_and_comes_back() {
     let mut pool = pool();
@@ -78,8 +78,8 @@
     assert_eq!(choice, TargetChoice::Send("e3".into(), Some(1)));
 }
 
-/// Two routers get calls for the same adapter that no engine holds. They must ask for it at the same
-/// engine without a word between them, or it is loaded twice.
+/// Two routers get calls for an adapter that no engine holds. Without exchanging messages they must request
+/// it at the same engine, or it is loaded twice.
 #[test]
 fn a_missing_adapter_is_loaded_at_its_preferred_target() {
     let mut pool = pool();
@@ -94,8 +94,8 @@
     assert_eq!(choice, TargetChoice::Load(preferred[0].clone(), adapter("h7"), 1));
 }
 
-/// Every adapter at the preferred engine is in use, and calls wait there for places already. One more
-/// would wait for runs to end, up to a second and a half; the next engine in the order has places.
+/// Every adapter at the preferred engine is in use, and calls already wait there for slots. One more call
+/// would wait for runs to end, up to 1.5 s; the next engine in the order has free slots.
 #[test]
 fn a_load_goes_where_it_need_not_wait_for_a_slot() {
     let mut pool = pool();
@@ -116,8 +116,8 @@
     assert_ne!(loads_at(&pool), first);
 }
 
-/// The loader beside the preferred engine is gone, so nobody would carry out a load there: the call
-/// would wait to its deadline. It does not answer a question, and is left out as soon as that is sure.
+/// The preferred engine's loader has ended, so a load there would never be ordered and the call would wait
+/// until its deadline. The engine is skipped once its loader leaves a report request unanswered.
 #[test]
 fn an_engine_with_a_silent_loader_is_not_asked_to_load() {
     let mut pool = pool();
@@ -137,8 +137,8 @@
     assert_eq!(loads_at(&pool, 3_210), first, "it has answered after all");
 }
 
-/// A call waits for a load that has begun. Another target looks better by a little at each look; a call
-/// that followed would have its adapter loaded at one engine after another, and be served by none.
+/// A call waits for a load that has begun, and at each new choice another target is slightly cheaper. A call
+/// that moved each time would have its adapter loaded at one engine after another and be served by none.
 #[test]
 fn a_call_stays_where_its_load_has_begun() {
     let mut pool = pool();
@@ -161,8 +161,8 @@
     assert_eq!(choice, TargetChoice::Load(first, adapter("h7"), 1), "it has its turn for a place");
 }
 
-/// An engine crashed and started again at its address; the list still shows the life before. Its host's
-/// loader names the new life, so nothing is sent to the old one, to be turned away.
+/// An engine crashed and restarted at its address, and the list still shows the earlier incarnation. The
+/// loader reports the new one, so no call may be sent to the old one, which would be refused.
 #[test]
 fn a_loader_that_names_another_incarnation_ends_the_old_one() {
     let mut pool = pool();
@@ -181,9 +181,9 @@
     Arc::new(TargetEntry { incarnation: incarnation(id, started), ..target(id, ENGINES, "b", 2) })
 }
 
-/// An engine starts again under its id, with its clock set back. What earlier calls tell of the life before
-/// must not count for the next one: it would seem busy and failing for ever, and to hold adapters that
-/// are gone.
+/// An engine restarts under the same id with its clock set back. State from calls to the earlier incarnation
+/// must not apply to the new one: it would look busy and failing forever, and seem to hold adapters that it
+/// no longer has.
 #[test]
 fn an_incarnation_under_the_same_id_begins_anew() {
     let mut pool = pool();
@@ -204,8 +204,8 @@
     assert_eq!((target.in_flight, target.prefill_tokens), (1, 100), "its own call still runs");
 }
 
-/// The list lags: it shows an engine's life before while the loader beside it has met the next one under
-/// the same id. Calls for adapters of the earlier life would all be turned away.
+/// The list lags: it shows an engine's earlier incarnation after the loader has reported the next one under
+/// the same id. Calls for adapters of the earlier incarnation would all be refused.
 #[test]
 fn a_loader_that_names_a_later_incarnation_under_the_same_id_ends_the_old_one() {
     let mut pool = pool();
@@ -219,8 +219,8 @@
     assert!(pool.take_report(host, report, ms(30)));
 }
 
-/// Another program writes an entry with the address of a target and a service that nobody configured. The
-/// target must not count as one that has ended.
+/// Another program writes an entry with a target's address and a service that is not configured. The target
+/// must not count as ended.
 #[test]
 fn an_entry_of_an_unknown_service_ends_no_target() {
     let mut pool = pool();
@@ -230,9 +230,9 @@
 }
 
 /// A target crashed and another started at its address before the list dropped the first. A router that
-/// starts then reads both, in the order of their names: it must take the later life whichever comes
-/// first, or all its calls are turned away. Should a late word of the dead one have made it the later
-/// entry, the first call that is turned away sets that right.
+/// starts then reads both, ordered by name: it must use the later incarnation in either order, or all its
+/// calls are refused. If a late update of the ended one made it the later entry, the first refused call
+/// corrects that.
 #[test]
 fn the_later_incarnation_at_an_address_is_taken_in_any_order() {
     let listed = |id: &str, generation: u64| {
@@ -247,8 +247,8 @@
     }
 }
 
-/// All engines crashed and started again empty. Their loaders put the base model back within a second:
-/// calls wait for it rather than be turned away, unless no loader is there to do so.
+/// All engines crashed and restarted empty, and their loaders load the base model again within a second.
+/// Calls must wait for it instead of being refused, unless the loaders are silent too.
 #[test]
 fn calls_wait_for_engines_that_have_just_started() {
     let mut pool = pool();
@@ -268,7 +268,7 @@
     assert_eq!(choose(&pool, ENGINES, Some(&call), 180), TargetChoice::AwaitBase);
 }
 
-/// Answers take long: turned into a reason to turn callers away only where calls wait for places.
+/// Answers of a plain service take long. That is a reason to refuse calls only if calls queue for slots.
 #[test]
 fn long_answers_count_as_a_queue_only_where_slots_are_taken() {
     let mut pool = pool();
@@ -290,7 +290,7 @@
     assert!(queued_plain_ms(&pool, &need, ms(800)) > 100.0, "20 calls at 16 places");
 }
 
-/// A target answers that it is another life than the one that was meant.
+/// A target answers that it is another incarnation than the one addressed.
 #[test]
 fn a_displaced_target_gets_nothing() {
     let mut pool = pool();
@@ -307,7 +307,7 @@
 fn unusable_targets_get_nothing() {
     let cases = [
         UnusableCase {
-            name: "leaving by the list",
+            name: "draining by the list",
             spoil: |pool| {
                 let entry = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 4) };
                 pool.apply_changes(&[ListChange::Put(Arc::new(entry))], ms(0));
@@ -318,14 +318,14 @@
             spoil: |pool| pool.apply_changes(&[ListChange::Removed("d1".into())], ms(0)),
         },
         UnusableCase {
-            name: "leaving by its loader",
+            name: "draining by its loader",
             spoil: |pool| {
                 let leaving = LoaderReport { is_draining: true, ..report("d1", 1, &[]) };
                 take_report(pool, leaving, ms(0));
             },
         },
         UnusableCase {
-            name: "dark by its loader",
+            name: "unresponsive by its loader",
             spoil: |pool| {
                 let dark = LoaderReport { is_answering: false, ..report("d1", 1, &[]) };
                 take_report(pool, dark, ms(0));
@@ -341,8 +341,8 @@
     }
 }
 
-/// A new version was announced; engines still hold the old one. A call must run on the new version,
-/// so it waits for it rather than run on the old.
+/// A new version was announced while engines still hold the old one. A call must run on the new version, so
+/// it waits for the load.
 #[test]
 fn an_old_version_is_replaced_before_it_is_used() {
     let mut pool = pool();
@@ -359,7 +359,7 @@
     assert_eq!(pool.newest_version(&adapter("h7")), 2, "versions never fall");
 }
 
-/// A router restarted an hour of changes ago reads an old configuration from a peer that lags.
+/// A router reads an old configuration from a peer that lags; it must keep the newer one that it has.
 #[test]
 fn configurations_never_go_back() {
     let mut pool = pool();
@@ -383,8 +383,8 @@
     assert_eq!(preferred_targets(&pool, &need, &adapter("h8"), ms(4_000)).len(), 2);
 }
 
-/// Reports are datagrams and may come doubled or out of order: an old one would bring back adapters
-/// that were evicted since.
+/// Reports are datagrams and may be duplicated or reordered: an old one would bring back adapters that were
+/// evicted since.
 #[test]
 fn an_older_report_is_dropped() {
     let mut pool = pool();
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -1,4 +1,5 @@
-//! What leaving an adapter's preferred engine costs against waiting there, and when a router asks first.
+//! The cost of moving away from an adapter's preferred engine against that of waiting there, and when a
+//! router requests a report first.
 
 use super::{
     super::support::{ENGINES, adapter, model_call, ms, pool, report},
@@ -12,7 +13,7 @@
     targets::TargetPool,
 };
 
-/// The engine at which a call would have its adapter loaded.
+/// The engine that the choice has load the call's adapter.
 fn loaded_at(pool: &TargetPool, call: &ModelCall) -> TargetIncarnation {
     match choose(pool, ENGINES, Some(call), 10) {
         TargetChoice::Load(incarnation, _, _) => incarnation,
@@ -20,9 +21,9 @@
     }
 }
 
-/// Loads of the store take three times as long while the fleet asks for too much at once. A load elsewhere
-/// than at the preferred engine has the store give an adapter twice: the longer loads take, the longer a
-/// call must expect to wait at its preferred engine before it goes astray.
+/// Loads from the weight store take three times as long while it is overloaded, and a load at an engine that
+/// is not preferred transfers an adapter twice. The longer loads take, the longer must the expected wait at
+/// the preferred engine be before a call goes to another one.
 #[test]
 fn strays_cost_more_while_loads_are_slow() {
     struct StrayCase {
@@ -57,10 +58,10 @@
     }
 }
 
-/// A router knows one engine, which is busy, and nothing of the others. If those counted as idle, every
-/// call would leave the engine where its adapter belongs for one that turns out as busy.
+/// A router has the report of one engine, which is busy, and none of the others. If those counted as idle,
+/// every call would move from its preferred engine to one that is just as busy.
 #[test]
-fn engines_that_are_not_known_count_as_busy_as_the_others() {
+fn engines_without_reports_count_as_busy_as_the_others() {
     let mut pool = pool();
     let call = model_call(Some("h7"));
     let first = loaded_at(&pool, &call);
@@ -73,10 +74,10 @@
     assert_eq!(choice, TargetChoice::Load(first, adapter("h7"), 1));
 }
 
-/// What is known of the engine chosen is old. The call asks first, unless it has asked often enough, or a
-/// call of the same router keeps the adapter there.
+/// The last report of the selected engine is old. The router requests a new one first, unless the call has
+/// used up its requests or another call of this router keeps the adapter there.
 #[test]
-fn old_knowledge_is_asked_anew() {
+fn an_old_report_is_requested_anew() {
     let mut pool = pool();
     let call = model_call(Some("h7"));
     let (service, zone) = (ENGINES.into(), "a".into());
@@ -100,11 +101,11 @@
     assert_eq!(choose(&pool, &ask, 1_700), send, "in use by a call of this router");
 }
 
-/// All places of the preferred engine's batch are taken for a moment. A place comes free within a twelfth of
-/// a run or so; the next engine would have to load the adapter, and each rare adapter had copies at as many
+/// All batch slots of the preferred engine are taken. One becomes free within about a twelfth of a run, while
+/// another engine must load the adapter first: when calls moved away, each rare adapter had copies at as many
 /// engines as it had calls.
 #[test]
-fn a_full_batch_costs_the_turns_before_the_call() {
+fn a_full_batch_costs_the_wait_for_the_queue() {
     struct FullCase {
         name: &'static str,
         run_ms: u64,
@@ -136,8 +137,8 @@
     }
 }
 
-/// The engine that holds an adapter is full. A long prompt would be put back and read again, and goes to
-/// another engine although the adapter must be loaded there; a short one stays and has its turn.
+/// The engine that holds an adapter is full. A call with a long prompt would be preempted and processed
+/// again, so it goes to another engine although that must load the adapter; one with a short prompt waits.
 #[test]
 fn long_prompts_leave_a_full_engine() {
     struct FullCase {
--- a/crates/core/tests/core/direct/selection/limits.rs
+++ b/crates/core/tests/core/direct/selection/limits.rs
@@ -1,4 +1,4 @@
-//! Choice among targets of which some take only so many requests.
+//! Selection among targets of which some advertise a limit.
 
 use super::{choose, need, sent_to, take_report};
 use crate::direct::support::{DESK, ENGINES, adapter, model_call, ms, pool, report};
@@ -11,14 +11,14 @@
 
 const ALL_ENGINES: [&str; 3] = ["e1", "e2", "e3"];
 
-fn state_limit(pool: &mut TargetPool, id: &str, rate: f64) {
+fn advertise_limit(pool: &mut TargetPool, id: &str, rate: f64) {
     let incarnation = TargetIncarnation::from(id);
     assert!(pool.record_limit(&incarnation, AdvertisedLimit::Limited(rate), ms(1), ms(2)));
 }
 
-/// States a limit that has no room until `until`.
-fn fill(pool: &mut TargetPool, id: &str, until: u64) {
-    state_limit(pool, id, 3.9);
+/// Advertises a limit that admits no call until `until`.
+fn saturate(pool: &mut TargetPool, id: &str, until: u64) {
+    advertise_limit(pool, id, 3.9);
     pool.record_saturation(&id.into(), ms(until));
 }
 
@@ -31,21 +31,21 @@
     pool
 }
 
-/// Guards against calls that wait for room at one target while others are free, or where there is none.
+/// Guards against calls that wait for a saturated target while others are free, or that wait when none is.
 #[test]
 fn a_saturated_target_is_left_out() {
     let mut pool = engines_with(&["h7"]);
-    fill(&mut pool, "d1", 500);
+    saturate(&mut pool, "d1", 500);
     assert_eq!(sent_to(&choose(&pool, DESK, None, 10)), Some("d2"));
     assert_eq!(sent_to(&choose(&pool, DESK, None, 600)), Some("d1"), "it has room again");
-    fill(&mut pool, "d2", 700);
+    saturate(&mut pool, "d2", 700);
     assert_eq!(choose(&pool, DESK, None, 10), TargetChoice::Nowhere);
     assert_eq!(pool.limit_retry_after(DESK, ms(10)), Some(ms(490)));
     assert_eq!(pool.limit_retry_after(DESK, ms(800)), None);
     // Engines that have their base model are not waited for.
     let call = model_call(Some("h7"));
     for id in ALL_ENGINES {
-        fill(&mut pool, id, 500);
+        saturate(&mut pool, id, 500);
     }
     assert_eq!(choose(&pool, ENGINES, Some(&call), 10), TargetChoice::Nowhere);
 }
@@ -54,7 +54,7 @@
 #[test]
 fn a_limit_ends_with_its_targets_incarnation() {
     let mut pool = pool();
-    fill(&mut pool, "d1", 5_000);
+    saturate(&mut pool, "d1", 5_000);
     let mut entry = pool.target(&"d1".into()).expect("a target").entry.as_ref().clone();
     entry.incarnation.started = Some(7);
     let mut other = entry.clone();
@@ -67,13 +67,13 @@
     assert!(!pool.has_limit_updates(ms(30)));
 }
 
-/// Guards against a limit that is forgotten while its target is missing from the list: an entry may lapse though its
-/// target lives on.
+/// Guards against a limit that is forgotten while its target is missing from the list: an entry may lapse
+/// although its target still runs.
 #[test]
 fn a_limit_outlasts_a_gap_in_the_list() {
     let mut pool = pool();
     let entries: Vec<_> = pool.entries().cloned().collect();
-    state_limit(&mut pool, "d1", 3.9);
+    advertise_limit(&mut pool, "d1", 3.9);
     pool.replace_list(entries[..3].to_vec(), ms(10));
     let told = pool.limit_updates(ms(20));
     assert_eq!(told.len(), 1, "others are told meanwhile");
@@ -86,8 +86,8 @@
     assert!(!pool.target(&"d1".into()).expect("a target").is_limited(), "it ended meanwhile");
 }
 
-/// Guards against loads and copies at a target that takes next to no calls for them, and against a limit that nobody
-/// reaches moving all adapters.
+/// Guards against loads and copies at a target that admits hardly any calls, and against moving all adapters
+/// because of a limit that is never reached.
 #[test]
 fn adapters_are_placed_at_targets_that_are_not_saturated() {
     let mut pool = engines_with(&[]);
@@ -97,7 +97,7 @@
         preferred_targets(pool, &need(&service, &zone, Some(&call)), &adapter("h7"), ms(at))
     };
     let usual = homes(&pool, 10);
-    state_limit(&mut pool, &usual[0].id, 500.0);
+    advertise_limit(&mut pool, &usual[0].id, 500.0);
     assert_eq!(homes(&pool, 10), usual, "its limit has room");
     pool.record_saturation(&usual[0], ms(100));
     assert!(!homes(&pool, 200).contains(&usual[0]));
