--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -1,10 +1,10 @@
-//! What the platform's store tells, passed on from router to router in each availability zone.
+//! Changes in the platform's store, passed on from router to router within each availability zone.
 //!
-//! Every answer of the store costs, and each change answers the watch of every router: with all of them
-//! watching, its calls grow with the routers. One router of each zone watches; a few relays ask it, and all
-//! others ask a relay, so that nobody answers more than about the square root of the zone's routers. All
-//! choose alike without a message. Changes are passed on under the store's own revisions, so that a router
-//! can go on at the store or at another router at any time, and loses nothing when it does.
+//! Every answer of the store costs, and each change is an answer to every watch: if all routers watched, the
+//! calls would grow with their number. So one router of each zone watches, a few relays query it, and all
+//! others query a relay; no router answers more than about the square root of the zone's routers. All compute
+//! the same roles without exchanging messages. Changes keep the store's revisions, so that a router can switch
+//! to the store or to another router at any time without missing a change.
 
 pub mod order;
 pub mod source;
@@ -21,14 +21,14 @@
     sync::Arc,
 };
 
-/// Rounds of changes that are kept. A router that asks at all asks several times a second, so that one
-/// which is further behind was away and reads the whole kind.
+/// Rounds of changes that are kept. Routers query several times a second; one that is further behind was
+/// disconnected and needs a snapshot.
 const LOG_LENGTH: usize = 32;
-/// Hints in one answer. Engines' entries change with every adapter that comes or goes, so that hints would
-/// grow with all engines; beyond this a router learns what an engine holds when it asks its loader.
+/// Maximum of hints in one answer. Engines' entries change with every adapter that is loaded or unloaded, so
+/// that hints would grow with the engines; without them a router requests the report of an engine's loader.
 const HINT_LIMIT: usize = 32;
 
-/// A change of something that the store holds; the latest one of an object says all.
+/// A change of an object in the store; it holds the whole object, so only the latest one matters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SharedChange {
     /// The configuration.
@@ -37,11 +37,11 @@
     Target(ListChange),
     /// The newest version of an adapter.
     Release(AdapterRelease),
-    /// What a router tells of crashes.
+    /// A router's report of crashes.
     Crashes(Arc<CrashReport>),
 }
 
-/// The object that changed.
+/// Identity of the object that changed.
 #[derive(Eq, Hash, PartialEq)]
 enum ChangeKey<'a> {
     Config,
@@ -61,69 +61,69 @@
     }
 }
 
-/// What has changed of one kind since a revision.
+/// Changes of one kind of object since a revision.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct KindDelta {
-    /// Revision up to which this tells.
+    /// Revision up to which the changes are complete.
     pub revision: u64,
-    /// Whether it is all that there is of the kind, as the asker was too far behind for changes alone.
+    /// Whether the changes are all objects of the kind, since the querying router was too far behind for a delta.
     #[serde(rename = "is_whole")]
     pub is_snapshot: bool,
-    /// Changes, the last one of each object only.
+    /// Only the last change of each object.
     pub changes: Vec<SharedChange>,
 }
 
-/// What a router tells another that asks for changes.
+/// A router's answer to another router that queries changes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SharedDelta {
-    /// Time in ms since the router at the head of the line last heard of the store.
+    /// Time in ms since the watching router last had an answer from the store.
     pub age_ms: u32,
-    /// Time in ms since that router could read the list of targets again, if it had lost it shortly before.
+    /// Time in ms since that router could read the list of targets again, if it lost the store shortly before.
     pub regained_ms: Option<u32>,
-    /// Changes by kind, in the order of the question.
+    /// Changes by kind, in the order of the query.
     pub kinds: Vec<KindDelta>,
 }
 
-/// Whether a router can do without a change.
+/// Whether a router needs a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChangeImportance {
     /// It must be passed on.
     Required,
-    /// It saves a question to a loader.
+    /// It only saves a report request to a loader.
     Hint,
 }
 
-/// A change as the log keeps it.
+/// A change with its importance, as the log keeps it.
 #[derive(Clone, Debug)]
 pub struct LoggedChange {
-    /// The change.
+    /// The changed object.
     pub change: SharedChange,
     /// Whether it must be passed on.
     pub importance: ChangeImportance,
 }
 
-/// Latest changes of one kind.
+/// Latest changes of one kind of object.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     is_followed: bool,
-    /// Revision from which on all changes are kept.
+    /// Revision after which all changes are kept.
     from: u64,
     revision: u64,
     rounds: VecDeque<(u64, Vec<LoggedChange>)>,
 }
 
 impl ChangeLog {
-    /// Whether this router follows the kind without interruption. Only then may others rely on it.
+    /// Whether this router follows the kind without gaps. Only then may other routers query it.
     pub fn is_followed(&self) -> bool {
         self.is_followed
     }
 
-    /// All of the kind was read at `revision`; what changed before is not known.
+    /// Restarts the log at a snapshot of `revision`; earlier changes are not known.
     pub fn restart(&mut self, revision: u64) {
         *self = Self { is_followed: true, from: revision, revision, rounds: VecDeque::new() };
     }
 
-    /// Changes after `from` and up to `revision` were heard.
+    /// Appends the changes after `from` up to `revision`; restarts the log if `from` leaves a gap.
     pub fn append(&mut self, from: u64, revision: u64, changes: Vec<LoggedChange>) {
         if !self.is_followed || from != self.revision {
             self.restart(from);
@@ -140,24 +140,25 @@
         }
     }
 
-    /// Revision up to which changes were heard.
+    /// Revision up to which all changes were received.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The kind is not followed any more: changes from now on are missed.
+    /// Clears the log: the kind is no longer followed, and changes are missed from now on.
     pub fn stop(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether there are changes for one that knows all up to `revision`.
+    /// Whether a router that knows all changes up to `revision` is due an answer: there are newer changes, or
+    /// the log cannot tell.
     pub fn has_changes(&self, revision: u64) -> bool {
         let is_newer = self.rounds.back().is_some_and(|(at, _)| *at > revision);
         !self.is_followed || revision < self.from || is_newer
     }
 
-    /// What has changed since `revision`; `None` if that is not known. One who asks may be ahead, having
-    /// heard of the store itself.
+    /// Changes since `revision`; `None` if the log does not reach back that far. The querying router may be
+    /// ahead if it has queried the store itself.
     pub fn since(&self, revision: u64) -> Option<KindDelta> {
         if !self.is_followed || revision < self.from {
             return None;
@@ -170,7 +171,7 @@
     }
 }
 
-/// The latest change of each object, newest first. It is required if an earlier change of the object was.
+/// The latest change of each object, newest first. It is required if any logged change of the object is.
 fn latest_of_each<'a>(newest_first: impl Iterator<Item = &'a LoggedChange>) -> Vec<LoggedChange> {
     let mut latest: Vec<LoggedChange> = Vec::new();
     let mut positions = HashMap::new();
--- a/crates/core/src/direct/sharing/order.rs
+++ b/crates/core/src/direct/sharing/order.rs
@@ -1,33 +1,32 @@
-//! Which router of an availability zone asks which.
+//! The tree of relays: which router of an availability zone queries which.
 
 use crate::rendezvous::weight;
 use std::{cmp::Reverse, net::SocketAddr};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Routers of a zone that read the store at a start; the second stands in for the first.
+/// Routers of a zone that read the store at their start; the second is the standby of the first.
 const FIRST_READERS: usize = 2;
 
-/// Rank of a router among those of its zone; the highest watches the store for it.
+/// Rank of a router in its zone; the one with the highest rank watches the store.
 pub(in crate::direct) fn relay_rank(router: &SocketAddr) -> u64 {
     weight(0, &router.to_string())
 }
 
-/// A router and its rank.
+/// A router with its [`relay_rank`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct RankedRouter {
     rank: u64,
     address: SocketAddr,
 }
 
-/// The first routers of an availability zone, in the order in which they pass on what the store tells: the
-/// watcher, then the relays.
+/// The first routers of an availability zone by rank: the watcher of the store, then the relays.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RelayOrder {
     first: Vec<RankedRouter>,
 }
 
 impl RelayOrder {
-    /// Puts the first routers of a zone in order.
+    /// Sorts the first routers of a zone by rank.
     pub fn new(routers: impl IntoIterator<Item = SocketAddr>) -> Self {
         let ranked = |address| RankedRouter { rank: relay_rank(&address), address };
         let mut first: Vec<RankedRouter> = routers.into_iter().map(ranked).collect();
@@ -41,28 +40,28 @@
         self.first.is_empty()
     }
 
-    /// The routers, in order.
+    /// The routers, highest rank first.
     pub fn routers(&self) -> impl Iterator<Item = SocketAddr> {
         self.first.iter().map(|router| router.address)
     }
 
-    /// Position of a router among the first; `None` if it is behind them all.
+    /// Position of a router among the first ones; `None` if it is neither watcher nor relay.
     pub fn position(&self, router: SocketAddr) -> Option<usize> {
         self.first.iter().position(|first| first.address == router)
     }
 
-    /// The router that sends the one at `own` what it needs at its start; `None` if that reads the store.
+    /// The router from which the one at `own` reads its first state; `None` if it reads the store.
     ///
-    /// Each router goes by those that it has been named so far, so that some more than [`FIRST_READERS`] read: the
-    /// logarithm of all.
+    /// Each router decides by the routers that it knows so far, so that more than [`FIRST_READERS`] read the
+    /// store: about the logarithm of their number.
     pub fn bootstrap_upstream(&self, own: SocketAddr) -> Option<SocketAddr> {
         let is_reader = self.position(own).is_some_and(|position| position < FIRST_READERS);
         if is_reader { None } else { self.upstream(own, |_| true) }
     }
 
-    /// The router that the one at `own` asks, of those that `is_usable`; `None` if it has to ask the store.
+    /// The router that the one at `own` queries, among those that are usable; `None` if it must watch the store.
     ///
-    /// That router is always ahead of it in the order, so that no two ask each other.
+    /// Its rank is always higher, so that no two routers query each other.
     pub fn upstream(
         &self,
         own: SocketAddr,
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -16,21 +16,21 @@
     sync::Arc,
 };
 
-/// Targets of the keeper.
+/// Targets in the store.
 const TARGETS: [&str; 4] = ["t0", "t1", "t2", "t3"];
 
-/// What happens next.
+/// One event of the test.
 #[derive(Clone, Copy, Debug)]
 enum ShareStep {
-    /// A target's entry changes, or goes.
+    /// A target's entry changes or is removed.
     Change { target: usize, is_removed: bool },
-    /// A router that watches reads the keeper.
+    /// A watching router reads the store.
     Read { log: usize },
-    /// A router loses the keeper, or leaves the watch to another one.
+    /// A router loses the store, or stops watching.
     Lose { log: usize },
-    /// The router under test asks another one.
+    /// The router under test queries another one.
     Ask { log: usize },
-    /// The router under test reads the keeper.
+    /// The router under test reads the store.
     Follow,
 }
 
@@ -49,11 +49,11 @@
     }
 }
 
-/// The keeper: a change a revision.
+/// The store, with one change per revision.
 #[derive(Default)]
-struct Keeper(Vec<SharedChange>);
+struct FakeStore(Vec<SharedChange>);
 
-impl Keeper {
+impl FakeStore {
     fn revision(&self) -> u64 {
         self.0.len() as u64
     }
@@ -91,44 +91,44 @@
     }
 }
 
-fn needed(changes: Vec<SharedChange>) -> Vec<LoggedChange> {
+fn required(changes: Vec<SharedChange>) -> Vec<LoggedChange> {
     let importance = ChangeImportance::Required;
     changes.into_iter().map(|change| LoggedChange { change, importance }).collect()
 }
 
-/// A router follows the keeper now and then, and otherwise asks one of two others that lose the keeper
-/// and find it again. If it took a list that lacks a change, a target that has left would get calls for
-/// as long as its entry does not change again. Whatever the order, its list is the keeper's own at the
-/// revision that it was told, and its revision never falls.
+/// A router reads the store at times, and otherwise queries one of two others that lose the store and reach
+/// it again. If a change were missing from its list, a target that has drained would get calls until its
+/// entry changes again. In any order of events its list must equal the store's at the revision of the
+/// answer, and its revision must never fall.
 #[test]
-fn a_shared_list_is_the_keepers() {
+fn a_shared_list_equals_the_stores() {
     fn holds(steps: Vec<ShareStep>) -> bool {
-        let mut keeper = Keeper::default();
+        let mut store = FakeStore::default();
         let mut logs = [(ChangeLog::default(), 0), (ChangeLog::default(), 0)];
         let (mut list, mut revision) = (BTreeMap::new(), 0);
         for step in steps {
             match step {
-                ShareStep::Change { target, is_removed } => keeper.change(target, is_removed),
+                ShareStep::Change { target, is_removed } => store.change(target, is_removed),
                 ShareStep::Read { log } => {
                     let (log, known) = &mut logs[log];
-                    log.append(*known, keeper.revision(), needed(keeper.after(*known)));
-                    *known = keeper.revision();
+                    log.append(*known, store.revision(), required(store.after(*known)));
+                    *known = store.revision();
                 }
                 ShareStep::Lose { log } => {
                     logs[log].0.stop();
-                    logs[log].1 = keeper.revision();
+                    logs[log].1 = store.revision();
                 }
                 ShareStep::Ask { log } => {
-                    let Some(news) = logs[log].0.since(revision) else { continue };
-                    apply(&mut list, &news.changes);
-                    if news.revision < revision || list != keeper.list_at(news.revision) {
+                    let Some(delta) = logs[log].0.since(revision) else { continue };
+                    apply(&mut list, &delta.changes);
+                    if delta.revision < revision || list != store.list_at(delta.revision) {
                         return false;
                     }
-                    revision = news.revision;
+                    revision = delta.revision;
                 }
                 ShareStep::Follow => {
-                    apply(&mut list, &keeper.after(revision));
-                    revision = keeper.revision();
+                    apply(&mut list, &store.after(revision));
+                    revision = store.revision();
                 }
             }
         }
@@ -141,43 +141,43 @@
     name: &'static str,
     rounds: u64,
     since: u64,
-    /// Changes told; `None` if the asker must read the whole list.
-    told: Option<usize>,
+    /// Number of changes; `None` if the querying router needs a snapshot.
+    count: Option<usize>,
 }
 
-/// A router that was away for long asks from a revision of which the log knows no more. Told "nothing",
-/// it would keep entries of targets that are gone.
+/// A router that was disconnected for long queries from a revision that the log no longer covers. An empty
+/// delta would make it keep entries of targets that are gone.
 #[test]
-fn one_that_is_too_far_behind_reads_a_snapshot() {
+fn a_router_too_far_behind_reads_a_snapshot() {
     let cases = [
-        LogCase { name: "nothing new", rounds: 3, since: 3, told: Some(0) },
-        LogCase { name: "one round", rounds: 3, since: 2, told: Some(1) },
-        LogCase { name: "ahead", rounds: 3, since: 9, told: Some(0) },
-        LogCase { name: "from the start", rounds: 3, since: 0, told: Some(3) },
-        LogCase { name: "before the log", rounds: 40, since: 2, told: None },
-        LogCase { name: "just in the log", rounds: 40, since: 8, told: Some(4) },
+        LogCase { name: "nothing new", rounds: 3, since: 3, count: Some(0) },
+        LogCase { name: "one round", rounds: 3, since: 2, count: Some(1) },
+        LogCase { name: "ahead", rounds: 3, since: 9, count: Some(0) },
+        LogCase { name: "from the start", rounds: 3, since: 0, count: Some(3) },
+        LogCase { name: "before the log", rounds: 40, since: 2, count: None },
+        LogCase { name: "just in the log", rounds: 40, since: 8, count: Some(4) },
     ];
     for case in cases {
-        let mut keeper = Keeper::default();
+        let mut store = FakeStore::default();
         let mut log = ChangeLog::default();
         log.restart(0);
         for round in 0..case.rounds {
-            keeper.change(round as usize % TARGETS.len(), false);
-            log.append(round, round + 1, needed(keeper.after(round)));
+            store.change(round as usize % TARGETS.len(), false);
+            log.append(round, round + 1, required(store.after(round)));
         }
-        let told = log.since(case.since).map(|news| news.changes.len());
-        assert_eq!(told, case.told, "{}", case.name);
+        let count = log.since(case.since).map(|delta| delta.changes.len());
+        assert_eq!(count, case.count, "{}", case.name);
     }
-    assert!(ChangeLog::default().since(0).is_none(), "one that does not follow the keeper");
+    assert!(ChangeLog::default().since(0).is_none(), "a log that does not follow the store");
 }
 
-/// Every router of a zone must name the same watcher, whatever the order in which it heard of the
-/// others; with two, the keeper gets twice the calls, and with none the list stands still.
+/// Every router of a zone must compute the same watcher, in whatever order it learned of the others: with two
+/// watchers the store gets twice the calls, and with none the list is not updated.
 #[test]
-fn all_routers_of_a_zone_name_the_same_watcher() {
+fn all_routers_of_a_zone_compute_the_same_watcher() {
     let routers: Vec<SocketAddr> =
         (1..9).map(|host| SocketAddr::from(([10, 0, 0, host], 8_144))).collect();
-    let named: HashSet<SocketAddr> = routers
+    let watchers: HashSet<SocketAddr> = routers
         .iter()
         .map(|own| {
             let others = routers.iter().rev().copied().filter(|other| other != own);
@@ -185,11 +185,16 @@
             order.upstream(*own, |_| true).unwrap_or(*own)
         })
         .collect();
-    assert_eq!(named.len(), 1);
-    assert_eq!(RelayOrder::new([routers[0]]).upstream(routers[0], |_| true), None, "one alone");
+    assert_eq!(watchers.len(), 1);
+    assert_eq!(
+        RelayOrder::new([routers[0]]).upstream(routers[0], |_| true),
+        None,
+        "a single router"
+    );
 }
 
-/// Guards against routers that read the whole list one after the other: a relay that did passes on what has changed.
+/// Guards against routers that read a snapshot one after the other: a relay that read one passes on only the
+/// changes.
 #[test]
 fn a_snapshot_is_passed_on_as_changes() {
     let put = |id: &str, port| ListChange::Put(Arc::new(target(id, DESK, "a", port)));
@@ -197,8 +202,8 @@
     for (id, port) in [("same", 1), ("changed", 2), ("gone", 3)] {
         state.take_change(&put(id, port));
     }
-    let whole = [put("same", 1), put("changed", 9), put("new", 4)].map(SharedChange::Target);
-    let changes = state.changes_to(&whole);
+    let snapshot = [put("same", 1), put("changed", 9), put("new", 4)].map(SharedChange::Target);
+    let changes = state.changes_to(&snapshot);
     let removed = ListChange::Removed("gone".into());
     let expected = [put("changed", 9), put("new", 4), removed].map(SharedChange::Target);
     assert_eq!(changes, expected);
@@ -210,23 +215,23 @@
     importance: ChangeImportance,
 }
 
-/// Guards against a change of a target that is left out as a hint: calls would go on to one that leaves, has moved, or
-/// has lost its base model.
+/// Guards against a required change that is dropped as a hint: calls would still go to a target that drains,
+/// has moved, or has lost its base model.
 #[test]
 fn only_a_change_of_adapters_alone_is_a_hint() {
-    let needed = ChangeImportance::Required;
+    let required = ChangeImportance::Required;
     let case = |name, importance, change| HintCase { name, change, importance };
     let cases = [
         case("adapters", ChangeImportance::Hint, |entry| {
             entry.holdings[0].adapters.insert("a1".into(), 2);
         }),
-        case("leaving", needed, |entry| entry.is_draining = true),
-        case("address", needed, |entry| entry.address.set_port(9)),
-        case("another life", needed, |entry| entry.incarnation.started = Some(7)),
-        case("another base model", needed, |entry| entry.holdings[0].base = "other".into()),
-        case("other weights", needed, |entry| entry.holdings[0].version += 1),
-        case("no base model", needed, |entry| entry.holdings.clear()),
-        case("adapters and slots", needed, |entry| {
+        case("draining", required, |entry| entry.is_draining = true),
+        case("address", required, |entry| entry.address.set_port(9)),
+        case("another incarnation", required, |entry| entry.incarnation.started = Some(7)),
+        case("another base model", required, |entry| entry.holdings[0].base = "other".into()),
+        case("other weights", required, |entry| entry.holdings[0].version += 1),
+        case("no base model", required, |entry| entry.holdings.clear()),
+        case("adapters and slots", required, |entry| {
             entry.holdings[0].adapters.insert("a1".into(), 2);
             entry.slots += 1;
         }),
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -1,5 +1,5 @@
-//! The routers of one availability zone and the store, in simulated time: the real state machines choose whom to
-//! ask, keep the changes and tell them.
+//! The routers of one availability zone and the store, in simulated time. The real state machines select the
+//! upstream, and log and pass on the changes.
 
 use super::super::support::{ENGINES, ms, target};
 use plantain_core::{
@@ -17,36 +17,36 @@
 
 /// Step of the simulation in ms.
 const STEP: u64 = 50;
-/// Time in ms from a target's leaving to the last call that may reach it.
+/// Time in ms from the start of a target's draining to the last call that may reach it.
 pub const DRAIN: u64 = 4_000;
-/// Time in ms for which a question waits for changes.
-const QUESTION_WAIT: u64 = 300;
-/// Time in ms after which a question without an answer is given up.
-const QUESTION_LIMIT: u64 = 500;
+/// Time in ms for which a query waits for changes.
+const QUERY_WAIT: u64 = 300;
+/// Timeout in ms of a query.
+const QUERY_TIMEOUT: u64 = 500;
 /// Pause in ms after a denial.
 const RETRY_PAUSE: u64 = 250;
-/// Time in ms for which changes gather at a watcher, and for which its watch waits.
+/// Time in ms for which a watcher batches changes, and timeout of its watch.
 const WATCH_ROUND: u64 = DRAIN * 65 / 100;
 /// Pause in ms of a router that cannot read the store.
 const FAILED_PAUSE: u64 = 500;
-/// Pause in ms between a router's turns of telling that it is alive.
+/// Pause in ms between a router's presence messages.
 const PRESENCE_PAUSE: u64 = 500;
-/// Pause in ms after which an engine holds other adapters.
+/// Interval in ms at which an engine's adapters change.
 const CHANGE_PAUSE: u64 = 2_600;
 const ADAPTERS: usize = 9;
 
-/// What happens to a router.
+/// Fault of a router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouterFault {
     None,
-    /// It answers nobody, and does nothing.
+    /// It does nothing and answers no queries.
     Frozen,
-    /// The store turns it away.
-    TurnedAway,
+    /// The store refuses its calls.
+    Refused,
 }
 
 #[derive(Clone, Copy)]
-struct Question {
+struct PendingQuery {
     upstream: usize,
     asked: u64,
 }
@@ -58,41 +58,41 @@
     log: ChangeLog,
     revision: Option<u64>,
     heard_at: u64,
-    question: Option<Question>,
-    next_question: u64,
+    pending: Option<PendingQuery>,
+    next_query: u64,
     next_watch: u64,
     fault: RouterFault,
 }
 
-/// What was seen.
+/// Counts over the simulated time.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneCounts {
-    /// Calls of the store that cost in full.
+    /// Watch calls to the store, which cost the full price.
     pub store_calls: usize,
-    /// Lists that may be old.
+    /// List calls that allow a stale answer.
     pub recent_lists: usize,
-    /// Bytes that each router told others.
-    pub told_bytes: Vec<usize>,
-    /// Routers that each one answered last.
-    pub askers: BTreeMap<usize, Vec<usize>>,
+    /// Bytes that each router sent to others.
+    pub sent_bytes: Vec<usize>,
+    /// For each upstream, the routers whose last answer came from it.
+    pub clients: BTreeMap<usize, Vec<usize>>,
 }
 
 impl ZoneCounts {
-    /// Routers that the busiest one answers.
-    pub fn most_askers(&self) -> usize {
-        self.askers.values().map(Vec::len).max().unwrap_or(0)
+    /// Number of routers behind the busiest upstream.
+    pub fn max_clients(&self) -> usize {
+        self.clients.values().map(Vec::len).max().unwrap_or(0)
     }
 }
 
-/// One zone.
+/// The simulated zone.
 pub struct Zone {
     now: u64,
     routers: Vec<Router>,
     registry: PresenceRegistry,
-    /// Changes in the store, one a revision.
+    /// Changes in the store, one per revision.
     changes: Vec<LoggedChange>,
     engines: usize,
-    is_out: bool,
+    is_outage: bool,
     pub counts: ZoneCounts,
 }
 
@@ -122,7 +122,7 @@
 }
 
 impl Zone {
-    /// A zone whose routers all start now, before `engines` engines.
+    /// A zone with `engines` engines whose routers all start now.
     pub fn new(routers: usize, engines: usize) -> Self {
         let mut zone = Self {
             now: 0,
@@ -130,7 +130,7 @@
             registry: PresenceRegistry::default(),
             changes: Vec::new(),
             engines,
-            is_out: false,
+            is_outage: false,
             counts: ZoneCounts::default(),
         };
         for index in 0..engines {
@@ -142,36 +142,37 @@
     }
 
     pub fn reset_counts(&mut self) {
-        let told_bytes = vec![0; self.routers.len()];
-        self.counts = ZoneCounts { told_bytes, ..ZoneCounts::default() };
+        let sent_bytes = vec![0; self.routers.len()];
+        self.counts = ZoneCounts { sent_bytes, ..ZoneCounts::default() };
     }
 
-    /// The store answers nobody, or everybody again.
-    pub fn set_out(&mut self, is_out: bool) {
-        self.is_out = is_out;
+    /// Begins or ends an outage of the store.
+    pub fn set_outage(&mut self, is_outage: bool) {
+        self.is_outage = is_outage;
     }
 
     pub fn set_fault(&mut self, router: usize, fault: RouterFault) {
         self.routers[router].fault = fault;
     }
 
-    /// Routers that ask the store.
+    /// Routers that watch the store.
     pub fn watchers(&self) -> Vec<usize> {
         let is_watcher =
             |index: &usize| self.routers[*index].machine.source() == StoreSource::Store;
         (0..self.routers.len()).filter(is_watcher).collect()
     }
 
-    /// The oldest knowledge of any router without a fault, in ms.
-    pub fn oldest(&self) -> u64 {
+    /// Maximum age of the state of any router without a fault, in ms.
+    pub fn max_age(&self) -> u64 {
         let sound = self.routers.iter().filter(|router| router.fault == RouterFault::None);
         sound.map(|router| self.now - router.heard_at).max().unwrap_or(0)
     }
 
-    /// Plays for `time` ms; returns the oldest knowledge that any sound router had after `from` of them.
-    pub fn play(&mut self, time: u64, from: u64) -> u64 {
+    /// Simulates `time` ms; returns the maximum age that the state of a router without a fault had after the
+    /// first `from` ms.
+    pub fn simulate(&mut self, time: u64, from: u64) -> u64 {
         let (until, from) = (self.now + time, self.now + from);
-        let mut oldest = 0;
+        let mut max_age = 0;
         while self.now < until {
             self.now += STEP;
             self.change_engines();
@@ -181,10 +182,10 @@
                 }
             }
             if self.now >= from {
-                oldest = oldest.max(self.oldest());
+                max_age = max_age.max(self.max_age());
             }
         }
-        oldest
+        max_age
     }
 
     fn put(&mut self, entry: TargetEntry, importance: ChangeImportance) {
@@ -230,11 +231,12 @@
         if router.machine.update(&view, now).is_some() {
             router.next_watch = self.now;
         }
-        match router.question {
-            Some(question) => self.follow_question(index, question),
-            None if self.now >= router.next_question => {
+        match router.pending {
+            Some(pending) => self.advance_query(index, pending),
+            None if self.now >= router.next_query => {
                 let upstream = router.machine.upstream(&router.view.same_zone).map(router_index);
-                router.question = upstream.map(|upstream| Question { upstream, asked: self.now });
+                router.pending =
+                    upstream.map(|upstream| PendingQuery { upstream, asked: self.now });
             }
             None => {}
         }
@@ -245,7 +247,7 @@
 
     fn list(&mut self, index: usize) {
         self.counts.recent_lists += 1;
-        if self.is_out || self.routers[index].fault == RouterFault::TurnedAway {
+        if self.is_outage || self.routers[index].fault == RouterFault::Refused {
             return;
         }
         let revision = self.revision();
@@ -261,7 +263,7 @@
         self.counts.store_calls += 1;
         let revision = self.revision();
         let router = &mut self.routers[index];
-        if self.is_out || router.fault == RouterFault::TurnedAway {
+        if self.is_outage || router.fault == RouterFault::Refused {
             router.log.stop();
             let pause = router.view.probe_pause(address(index)).as_millis() as u64;
             router.next_watch = self.now + pause.max(FAILED_PAUSE);
@@ -274,22 +276,22 @@
         router.next_watch = self.now + WATCH_ROUND;
     }
 
-    fn follow_question(&mut self, index: usize, question: Question) {
-        let waited = self.now - question.asked;
+    fn advance_query(&mut self, index: usize, pending: PendingQuery) {
+        let waited = self.now - pending.asked;
         let known = self.routers[index].revision.unwrap_or(0);
-        let upstream = &self.routers[question.upstream];
+        let upstream = &self.routers[pending.upstream];
         let is_frozen = upstream.fault == RouterFault::Frozen;
         let has_changes = upstream.log.has_changes(known);
         let reply = if is_frozen {
-            if waited < QUESTION_LIMIT {
+            if waited < QUERY_TIMEOUT {
                 return;
             }
             UpstreamReply::Silent
         } else if upstream.machine.source() == StoreSource::Undecided {
             UpstreamReply::Denied
-        } else if !has_changes && waited < QUESTION_WAIT {
+        } else if !has_changes && waited < QUERY_WAIT {
             return;
-        } else if self.is_too_stale(question.upstream) {
+        } else if self.is_too_stale(pending.upstream) {
             UpstreamReply::Stale
         } else if upstream.log.is_followed() {
             UpstreamReply::Changes
@@ -297,14 +299,14 @@
             UpstreamReply::Denied
         };
         if reply == UpstreamReply::Changes {
-            self.tell(question.upstream, index);
+            self.send_changes(pending.upstream, index);
         }
         let now = self.now;
         let router = &mut self.routers[index];
-        router.question = None;
-        let is_left = router.machine.apply_reply(address(question.upstream), reply, ms(now));
+        router.pending = None;
+        let is_left = router.machine.apply_reply(address(pending.upstream), reply, ms(now));
         if reply != UpstreamReply::Changes && !is_left {
-            router.next_question = now + RETRY_PAUSE;
+            router.next_query = now + RETRY_PAUSE;
         }
     }
 
@@ -314,23 +316,23 @@
         ms(self.now - router.heard_at) >= max_staleness
     }
 
-    fn tell(&mut self, teller: usize, asker: usize) {
-        let known = self.routers[asker].revision.unwrap_or(0);
-        let upstream = &self.routers[teller];
+    fn send_changes(&mut self, sender: usize, client: usize) {
+        let known = self.routers[client].revision.unwrap_or(0);
+        let upstream = &self.routers[sender];
         let (heard_at, revision) = (upstream.heard_at, upstream.log.revision());
-        let news = upstream.log.since(known);
+        let delta = upstream.log.since(known);
         let logged = upstream.revision.map_or(0, |_| revision);
-        let kinds: Vec<_> = news.into_iter().collect();
+        let kinds: Vec<_> = delta.into_iter().collect();
         let changes: Vec<SharedChange> =
-            kinds.iter().flat_map(|news| news.changes.iter().cloned()).collect();
-        let told = SharedDelta { age_ms: 0, regained_ms: None, kinds };
-        let bytes = postcard::to_allocvec(&told).expect("news").len();
-        self.counts.told_bytes[teller] += bytes;
-        for askers in self.counts.askers.values_mut() {
-            askers.retain(|known| *known != asker);
+            kinds.iter().flat_map(|delta| delta.changes.iter().cloned()).collect();
+        let answer = SharedDelta { age_ms: 0, regained_ms: None, kinds };
+        let bytes = postcard::to_allocvec(&answer).expect("an answer").len();
+        self.counts.sent_bytes[sender] += bytes;
+        for clients in self.counts.clients.values_mut() {
+            clients.retain(|known| *known != client);
         }
-        self.counts.askers.entry(teller).or_default().push(asker);
-        let router = &mut self.routers[asker];
+        self.counts.clients.entry(sender).or_default().push(client);
+        let router = &mut self.routers[client];
         let importance = ChangeImportance::Hint;
         let hints = changes.into_iter().map(|change| LoggedChange { change, importance }).collect();
         router.log.append(known, logged.max(known), hints);
@@ -347,8 +349,8 @@
         log: ChangeLog::default(),
         revision: None,
         heard_at: now,
-        question: None,
-        next_question: now,
+        pending: None,
+        next_query: now,
         next_watch: now,
         fault: RouterFault::None,
     }
