--- a/crates/core/src/direct.rs
+++ b/crates/core/src/direct.rs
@@ -1,5 +1,5 @@
-//! Decisions for targets that routers call directly: routes, choice of a target, what an answer
-//! proves, retries, and the loader's orders to the one engine beside it.
+//! Decisions for targets that routers call directly: routes, target selection, what an answer proves, retries,
+//! and the loader's orders to its host's engine.
 
 pub mod advertised_state;
 pub mod backlog;
--- a/crates/core/src/direct/call.rs
+++ b/crates/core/src/direct/call.rs
@@ -1,48 +1,48 @@
-//! What a router knows of one call before it chooses a target.
+//! A call as a router decodes it before target selection, and what the router adds when it forwards it.
 
 use super::customers::keys::PresentedKey;
 use crate::ids::{AdapterName, AdapterVersion, BaseName, CustomerName};
 use serde::{Deserialize, Serialize};
 use std::{sync::Arc, time::Duration};
 
-/// Id of a call as its caller sent it.
+/// Id of a call, set by its caller.
 pub type CallId = Arc<str>;
 
-/// The adapter, or the base model itself, that a call asks for.
+/// The adapter, or the base model itself, that a call needs.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ModelNeed {
     /// The base model.
     pub base: BaseName,
-    /// The adapter of it; `None` asks for the base model.
+    /// Adapter of the base model; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
 }
 
 /// A shared part of a prompt: its hash and its length in tokens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Hash by which equal parts are known.
+    /// Hash of the content; equal parts have equal hashes.
     pub hash: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// Tokens that a call states.
+/// Token counts that a call declares.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub input: u32,
-    /// Most tokens of the answer.
+    /// Maximum of tokens of the answer.
     pub output: u32,
 }
 
-/// What a call asks of a model engine.
+/// A call to a model engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelCall {
-    /// The model.
+    /// Base model and adapter that it needs.
     pub need: ModelNeed,
     /// Tokens of the prompt.
     pub tokens_in: u32,
-    /// Most tokens of the answer.
+    /// Maximum of tokens of the answer.
     pub tokens_out: u32,
     /// Parts of the prompt that other calls may share, in order.
     pub parts: Vec<PromptPart>,
@@ -69,37 +69,37 @@
 /// The head of a caller's request, decoded from the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallHead {
-    /// Id that the caller gave; each try of a caller has its own.
+    /// Id that the caller set; each attempt of a caller has its own.
     pub id: Option<CallId>,
     /// Host that the request names.
     pub host: String,
     /// Path and query.
     pub path: String,
-    /// How long the caller waits.
+    /// Time for which the caller waits, if it states one.
     pub time_left: Option<Duration>,
-    /// What it bears to say whose it is.
+    /// Key that identifies the customer.
     pub key: PresentedKey,
-    /// Tokens that it states, if it does.
+    /// Token counts that it declares, if any.
     pub tokens: Option<TokenCounts>,
-    /// What it asks of a model, if anything.
+    /// Model that it needs; `None` for a call to a plain service.
     pub model: Option<ModelCall>,
-    /// Last event that the caller has of an earlier run.
+    /// Last event that the caller received from an earlier run of a stream.
     pub last_event: Option<u64>,
 }
 
-/// What a router adds to a call that it sends on.
+/// What a router adds to a call that it forwards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ForwardTerms {
-    /// The only incarnation of a target that may run it.
+    /// Id of the only target incarnation that may run the call.
     pub instance: Arc<str>,
     /// Time left until the caller gives up.
     pub time_left: Duration,
-    /// The only version of the adapter that may run it.
+    /// The only version of the adapter that may run the call.
     pub version: Option<AdapterVersion>,
-    /// Rank at an engine; 0 is first.
+    /// Rank in an engine's queue; 0 is first.
     pub urgency: u8,
-    /// Event after which the run goes on.
+    /// Event after which the run resumes a stream.
     pub resume_after: Option<u64>,
-    /// The customer whose call it is.
+    /// Customer of the call, if it has one.
     pub customer: Option<CustomerName>,
 }
--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of routes, services and callers' limits, as one version of it.
+//! One version of the configuration: routes, services, customers and limits for callers.
 
 pub mod record;
 
@@ -7,29 +7,28 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// Number of a configuration; it only grows, in uneven steps.
+/// Number of a configuration's version; it only grows, not always by one.
 pub type ConfigNumber = u64;
 
-/// Slowest that a caller may be in sending a head before its connection is closed, until a
-/// configuration says otherwise.
+/// Time limit for a caller to send a head, until a configuration sets another.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Unused time after which a caller's connection is closed, until a configuration says otherwise.
+/// Idle time after which a caller's connection is closed, until a configuration sets another.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Largest head in bytes until a configuration says otherwise.
+/// Largest head in bytes, until a configuration sets another.
 const DEFAULT_HEADER_BYTES: usize = 16 << 10;
-/// Largest body in bytes until a configuration says otherwise.
+/// Largest body in bytes, until a configuration sets another.
 const DEFAULT_BODY_BYTES: usize = 4 << 20;
 
-/// What may be repeated.
+/// Whether the calls of a route may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CallKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Answered by events; runs at most once unless it may go on at another target.
+    /// Answered by a stream of events; runs at most once unless it is resumable.
     Stream {
-        /// Whether a new run may go on after the last event.
+        /// Whether a new run may resume after the last event.
         resumable: bool,
     },
 }
@@ -55,33 +54,33 @@
     pub weight: u32,
 }
 
-/// One route: which calls it takes and how they are handled.
+/// One route: the calls that it matches and how they are handled.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RouteRule {
     /// Name, for logs.
     pub name: Arc<str>,
-    /// Host that a call must name.
+    /// Host that a call must state.
     pub host: Arc<str>,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its calls may run more than once.
     pub kind: CallKind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time until a call is answered; `None` if the route sets none.
     pub time_limit: Option<Duration>,
-    /// Time within which an answer is worth most.
+    /// Latency objective of an answer.
     pub objective: Duration,
-    /// Rank; 0 is the highest.
+    /// Priority of its calls; 0 is the highest.
     pub priority: u8,
-    /// Most targets that may run one call.
+    /// Maximum of targets that may run one call.
     pub max_targets: u32,
-    /// Whether it is open to callers that are nobody's.
+    /// Whether it admits callers that belong to no customer.
     pub is_open: bool,
-    /// Where the calls go; one share unless the route is split.
+    /// Services that get its calls; one unless the route is split.
     pub shares: Vec<ServiceShare>,
 }
 
 impl RouteRule {
-    /// Picks a service for a call; `draw` is uniform in 0 to 1.
+    /// Picks a service for a call; `draw` is uniform from 0 to 1.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.shares.iter().map(|share| share.weight).sum();
         let mut rest = draw * f64::from(total);
@@ -98,7 +97,7 @@
 /// A base model that an engine can hold.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BaseSpec {
-    /// Its name.
+    /// Name of the base model.
     pub name: BaseName,
     /// Size of its weights in MB.
     pub weights_mb: f64,
@@ -106,32 +105,32 @@
     pub adapter_mb: f64,
 }
 
-/// What all engines of a service have.
+/// Capacity that all engines of a service have.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineSpec {
-    /// Requests run at once.
+    /// Batch slots: calls that run at once.
     pub batch: u32,
-    /// Tokens of prompts and answers held at once.
+    /// Capacity of the KV cache in tokens of prompts and answers.
     pub kv_tokens: u64,
-    /// Room for weights and adapters in MB.
+    /// Memory for weights and adapters in MB.
     pub memory_mb: f64,
-    /// Adapters held at once, those on their way counted.
+    /// Maximum of adapters held, including those being loaded.
     #[serde(rename = "adapter_places")]
     pub adapter_slots: usize,
-    /// Base models that may be asked for.
+    /// Base models that calls may need.
     pub bases: Vec<BaseSpec>,
 }
 
-/// A service and how its targets are spoken to.
+/// A service and how routers connect to its targets.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServiceSpec {
-    /// Connections that each target takes from all callers together.
+    /// Maximum of connections that each target accepts, from all its clients together.
     pub connection_limit: usize,
-    /// Set where the targets are model engines.
+    /// Set if the targets are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What callers may send, and how long they may take.
+/// Size and time limits for callers' requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
     /// Largest head in bytes.
@@ -140,7 +139,7 @@
     pub body_bytes: usize,
     /// Longest time for a head to arrive, from its first byte.
     pub header_timeout: Duration,
-    /// Longest time that a connection may stay unused.
+    /// Longest time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
@@ -155,16 +154,16 @@
     }
 }
 
-/// A whole configuration, indexed for lookup.
+/// A complete configuration, indexed for lookup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteConfig {
-    /// Its number; 0 before any is known.
+    /// Number of its version; 0 before any is known.
     pub number: ConfigNumber,
     /// Limits for callers.
     pub limits: CallerLimits,
     /// Services by name.
     pub services: HashMap<ServiceName, Arc<ServiceSpec>>,
-    /// Customers; none where all callers are alike.
+    /// Customers; empty if callers are not told apart.
     pub customers: CustomerTable,
     routes: HashMap<Arc<str>, HashMap<Arc<str>, Arc<RouteRule>>>,
 }
@@ -186,7 +185,7 @@
         Self { number, limits, services, customers, routes: index }
     }
 
-    /// Sets the customers.
+    /// Replaces the customers.
     #[must_use]
     pub fn with_customers(mut self, customers: CustomerTable) -> Self {
         self.customers = customers;
@@ -195,8 +194,8 @@
 
     /// The route with the longest prefix of `path` among those of `host`.
     ///
-    /// Prefixes end with a slash, so only the path's own slashes need to be tried: the cost follows
-    /// the depth of the path and not the number of routes.
+    /// Prefixes end with a slash, so only the path's own slashes are tried: the cost grows with the depth of the
+    /// path and not with the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let prefixes = self.routes.get(host)?;
         let path = path.split('?').next().unwrap_or(path);
--- a/crates/core/src/direct/config/record.rs
+++ b/crates/core/src/direct/config/record.rs
@@ -1,4 +1,4 @@
-//! Configurations as routers send them to each other.
+//! The serialized form of configurations between routers.
 
 use super::{CallerLimits, ConfigNumber, RouteConfig, RouteRule, ServiceSpec};
 use crate::{
@@ -11,20 +11,20 @@
 /// A configuration as sent between routers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigRecord {
-    /// Its number.
+    /// Number of the configuration's version.
     pub number: ConfigNumber,
-    /// Its routes.
+    /// Routes, in no fixed order.
     pub routes: Vec<Arc<RouteRule>>,
-    /// Its services.
+    /// Services by name.
     pub services: HashMap<ServiceName, Arc<ServiceSpec>>,
     /// Limits for callers.
     pub limits: CallerLimits,
-    /// Its customers.
+    /// Rules of the customers.
     pub customers: Vec<Arc<CustomerRule>>,
 }
 
 impl ConfigRecord {
-    /// Copies a configuration.
+    /// Converts a configuration to a record.
     pub fn new(config: &RouteConfig) -> Self {
         Self {
             number: config.number,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Indexes the configuration; the error says why its customers cannot be told apart.
+    /// Indexes the configuration; fails if its customers cannot be told apart.
     pub fn into_config(self) -> Result<RouteConfig, CustomerFault> {
         let routes = self.routes.into_iter().map(Arc::unwrap_or_clone).collect();
         let customers = CustomerTable::new(self.customers)?;
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -1,11 +1,11 @@
-//! Which routers are alive, as loaders tell them.
+//! Which routers are alive, by their presence messages to loaders.
 //!
-//! Pattern: routers of an availability zone share one watch of the platform's store, and all routers of the
-//! fleet share one budget of repeats, so each must know the others of its zone and the number of all. While
-//! every loader told every router, that traffic grew with routers times loaders. Instead the routers of a zone
-//! register at two loaders, which all of them choose alike without a message and come by at in turn; while no
-//! loader is known, as after a start of everything, they register at the routers that their settings name. Of
-//! each other zone a router only learns the number, which it asks where that zone's routers register.
+//! Routers of an availability zone share one watch of the platform's store, and all routers of the fleet share
+//! one retry budget, so each needs the addresses of its zone's routers and the number of all. When every loader
+//! sent this to every router, the traffic grew with routers times loaders. Instead the routers of a zone register
+//! at two loaders, which all compute alike without exchanging messages and contact alternately. While no loader
+//! is known, as after a start of the whole fleet, they register at the routers named in their settings. Of other
+//! zones a router only learns the number of routers, from the loaders where those register.
 
 use super::{
     membership::InstanceId,
@@ -27,60 +27,59 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Loaders at which the routers of a zone register. One may be gone or cut off without anybody losing sight
-/// of the others.
+/// Loaders at which the routers of a zone register. One may fail or be cut off without routers losing the
+/// addresses of the others.
 const REGISTRY_LOADERS: usize = 2;
-/// Time for which a loader counts a router as alive. A router comes by each second, at the loaders of its
-/// zone in turn, so that one of its datagrams may be lost.
+/// Time for which a loader counts a router as alive. A router sends its presence each second, to the loaders of
+/// its zone alternately, so that one of its datagrams may be lost.
 const PRESENCE_TTL: Duration = Duration::from_secs(5);
-/// Time for which a router that a loader named counts as alive: three answers.
+/// Time for which a router listed by a loader counts as alive: three answers.
 const PEER_TTL: Duration = Duration::from_secs(3);
-/// Time for which the number of a zone's routers is believed: two rounds of questions over ten zones. A zone
-/// that parts from the others leaves its number behind for as long: the shares of a common budget then stay
-/// too small, never too large.
+/// TTL of the number of a zone's routers: two rounds of queries over ten zones. A zone that is cut off still
+/// counts for as long: shares of a common budget are then too small, never too large.
 const COUNT_TTL: Duration = Duration::from_secs(20);
-/// Turns after its start in which a router asks for the numbers of all zones. Where all have just started,
-/// the first answers count only those that were there first, and shares of a budget would be too large
-/// until each zone's turn comes round again. With half of all answers lost, four turns left one router of
-/// forty with a number of 27 for twenty seconds; eight leave none below 30.
-const EARLY_TURNS: usize = 8;
-/// Routers of its own zone that a router is told at least, if there are so many: those first in line to pass
-/// on what the store tells.
+/// Rounds after its start in which a router queries the numbers of all zones. If all routers have just started,
+/// the first answers count only those that registered first, and shares of a budget would be too large until
+/// each zone is queried again. With half of all answers lost, four rounds left one router of forty with a
+/// count of 27 for twenty seconds; eight leave none below 30.
+const EARLY_ROUNDS: usize = 8;
+/// Minimum of routers of its own zone that a router is sent, if there are as many: those of the highest rank
+/// among the relays of store changes.
 const SAME_ZONE_FLOOR: usize = 8;
-/// Routers of other zones that a router is told, to be asked while its own zone cannot reach the store.
+/// Routers of other zones that a router is sent, to query while its own zone cannot reach the store.
 const OTHER_ZONES_LIMIT: usize = 4;
-/// Routers that a loader remembers; bounds its memory at about 100 kB.
+/// Maximum of routers that a loader keeps; bounds its memory at about 100 kB.
 const MEMBER_LIMIT: usize = 2_048;
 
-/// Shortest pause between calls of a router that ask whether the store is back, where others tell it.
+/// Minimum pause between a router's probes of a lost store, if other routers would send it the changes.
 const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
-/// Part of such a pause for each router that asks before it.
+/// The pause is at least this long for each router of a higher rank.
 const POSITION_PAUSE: Duration = Duration::from_millis(250);
 
-/// Routers of the largest fleet.
+/// Routers of the largest supported fleet.
 const LARGEST_FLEET: usize = 1_024;
-/// Time from a router's start to its having the names of those that started with it.
-const NAMING_TIME: Duration = Duration::from_secs(3);
+/// Time from a router's start until it has read the reports of routers that started with it.
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// What a router sends a loader at which routers register, to learn of the others.
+/// A router's heartbeat to a loader at which routers register; the loader replies with a directory.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterPresence {
-    /// Its availability zone.
+    /// Availability zone of the router.
     pub zone: ZoneName,
-    /// Where other routers can ask it for the configuration and the list.
+    /// Address at which other routers can query it for the configuration and the list of targets.
     pub address: SocketAddr,
-    /// Whether it is here that the routers of its zone register.
+    /// Whether the routers of its zone register at this loader.
     #[serde(rename = "meets_here")]
     pub registers_here: bool,
-    /// What it knows of targets' limits.
+    /// Updates of targets' limits.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
 }
 
-/// What a router is told of the others.
+/// The reply to a presence: which other routers are alive.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RouterDirectory {
-    /// Routers of the asker's zone, those first that are first in line to follow the store.
+    /// Routers of the sender's zone by rank, the watcher of the store first.
     #[serde(rename = "near")]
     pub same_zone: Vec<SocketAddr>,
     /// Some routers of other zones.
@@ -88,13 +87,13 @@
     pub other_zones: Vec<SocketAddr>,
     /// Number of routers of the zones whose routers register at this loader.
     pub counts: Vec<(ZoneName, u16)>,
-    /// Limits of targets that the router knows otherwise.
+    /// Updates that the router did not send itself, or sent with another rate.
     #[serde(rename = "news")]
     pub limit_updates: Vec<LimitUpdate>,
 }
 
-/// The loaders at which the routers of a zone register, chosen alike by all routers: loaders of the zone
-/// itself if there are any.
+/// The targets at whose loaders the routers of a zone register, by rendezvous hashing: all routers compute the
+/// same. Targets of the zone itself come first.
 pub fn registry_targets<'a>(
     zone: &str,
     engines: impl Iterator<Item = (&'a InstanceId, &'a ZoneName)>,
@@ -106,31 +105,31 @@
     ranked.into_iter().take(REGISTRY_LOADERS).map(|(_, _, id)| id.clone()).collect()
 }
 
-/// Routers of a zone of `routers` that pass on what the store tells. With as many relays as each has
-/// routers behind it, the busiest answers the fewest.
+/// Number of relays, the watcher included, in a zone of `routers`. With as many relays as each has routers
+/// behind it, the load of the busiest is lowest.
 fn same_zone_limit(routers: usize) -> usize {
     SAME_ZONE_FLOOR.max(routers.isqrt() + 1)
 }
 
-/// A router that came by.
+/// A router that sent its presence.
 #[derive(Debug)]
 struct Member {
     zone: ZoneName,
     /// Its [`relay_rank`].
     rank: u64,
     seen: Timestamp,
-    /// When it last came by as one whose zone's routers register here.
-    met: Option<Timestamp>,
+    /// When it last registered here; `None` if its zone's routers register elsewhere.
+    registered: Option<Timestamp>,
 }
 
-/// The routers that come by at one loader.
+/// The routers that send their presence to one loader.
 #[derive(Debug, Default)]
 pub struct PresenceRegistry {
     members: HashMap<SocketAddr, Member>,
 }
 
 impl PresenceRegistry {
-    /// A router came by; what it is told in answer.
+    /// Records a router's presence and returns the reply.
     pub fn take(&mut self, presence: &RouterPresence, now: Timestamp) -> RouterDirectory {
         self.members.retain(|_, member| now.saturating_sub(member.seen) < PRESENCE_TTL);
         if self.members.len() < MEMBER_LIMIT || self.members.contains_key(&presence.address) {
@@ -138,12 +137,12 @@
                 zone: presence.zone.clone(),
                 rank: relay_rank(&presence.address),
                 seen: now,
-                met: None,
+                registered: None,
             });
             member.zone.clone_from(&presence.zone);
             member.seen = now;
             if presence.registers_here {
-                member.met = Some(now);
+                member.registered = Some(now);
             }
         }
         self.directory(&presence.zone, now)
@@ -168,8 +167,11 @@
 
     fn counts(&self, now: Timestamp) -> BTreeMap<ZoneName, u16> {
         let mut counts = BTreeMap::new();
-        let is_here =
-            |member: &&Member| member.met.is_some_and(|met| now.saturating_sub(met) < PRESENCE_TTL);
+        let is_here = |member: &&Member| {
+            member
+                .registered
+                .is_some_and(|registered| now.saturating_sub(registered) < PRESENCE_TTL)
+        };
         for member in self.members.values().filter(is_here) {
             let count: &mut u16 = counts.entry(member.zone.clone()).or_default();
             *count = count.saturating_add(1);
@@ -178,19 +180,19 @@
     }
 }
 
-/// Another router.
+/// Another router of the fleet.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PeerRouter {
-    /// Where it answers other routers.
+    /// Address at which it answers other routers.
     pub address: SocketAddr,
-    /// Whether it stands in this router's availability zone.
+    /// Whether it is in this router's availability zone.
     pub is_same_zone: bool,
 }
 
-/// The routers that one may ask for what the store tells.
+/// The routers that a router may query for changes of the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PeerView {
-    /// The first routers of its availability zone, itself counted.
+    /// The first routers of its availability zone by rank, itself included.
     pub same_zone: RelayOrder,
     /// Some routers of other zones.
     pub other_zones: Vec<SocketAddr>,
@@ -199,9 +201,9 @@
 }
 
 impl PeerView {
-    /// Shortest pause between calls of the router at `own` that ask whether the store is back. One that others tell
-    /// goes on asking only in case that the store serves it and not them, and does so the more rarely, the more
-    /// ask before it: the calls of a zone in an outage do not grow with its routers.
+    /// Minimum pause between probes of a lost store by the router at `own`. A router with an upstream probes only
+    /// in case the store serves it and not the upstream, and the less often the lower its rank: the calls of a
+    /// zone in an outage do not grow with its routers.
     pub fn probe_pause(&self, own: SocketAddr) -> Duration {
         if self.same_zone.upstream(own, |_| true).is_none() {
             return Duration::ZERO;
@@ -211,32 +213,32 @@
     }
 }
 
-/// What one router knows of the others.
+/// One router's table of the others.
 #[derive(Debug, Default)]
 pub struct RouterTable {
     seen: BTreeMap<PeerRouter, Timestamp>,
     counts: HashMap<ZoneName, (usize, Timestamp)>,
-    /// Routers whose reports are in the store, and when each was last read.
-    named: HashMap<Arc<str>, Timestamp>,
-    /// Whether all reports were read once.
+    /// Routers with a report in the store, and when each was last read.
+    reports: HashMap<Arc<str>, Timestamp>,
+    /// Whether all reports were read at least once.
     is_listed: bool,
     /// Whether reports cannot be read now.
     is_lost: bool,
 }
 
 impl RouterTable {
-    /// Takes what a loader tells.
+    /// Applies a loader's directory.
     pub fn note(&mut self, directory: &RouterDirectory, now: Timestamp) {
         let same_zone = directory.same_zone.iter().map(|address| (*address, true));
         let other_zones = directory.other_zones.iter().map(|address| (*address, false));
-        let named = same_zone
+        let listed = same_zone
             .chain(other_zones)
             .map(|(address, is_same_zone)| PeerRouter { address, is_same_zone });
-        self.seen.extend(named.map(|peer| (peer, now)));
+        self.seen.extend(listed.map(|peer| (peer, now)));
         self.seen.retain(|_, seen| now.saturating_sub(*seen) < PEER_TTL);
         for (zone, count) in &directory.counts {
-            // Loaders hear of a change at different times. The highest word counts: with too low a number
-            // each router would take too much of what all share.
+            // Loaders learn of a change at different times. The highest count applies: with too low a count
+            // each router would take too much of a shared budget.
             let known = self.counts.entry(zone.clone()).or_insert((0, now));
             let count = usize::from(*count);
             if count >= known.0 || now.saturating_sub(known.1) >= PRESENCE_TTL {
@@ -245,58 +247,58 @@
         }
     }
 
-    /// Another router's report was read from the store.
-    pub fn note_name(&mut self, name: &Arc<str>, now: Timestamp) {
-        self.named.insert(Arc::clone(name), now);
+    /// Records that another router's report was read from the store.
+    pub fn note_report(&mut self, name: &Arc<str>, now: Timestamp) {
+        self.reports.insert(Arc::clone(name), now);
     }
 
     /// Number of other routers whose reports were read.
-    pub fn named(&self) -> usize {
-        self.named.len()
+    pub fn report_count(&self) -> usize {
+        self.reports.len()
     }
 
-    /// All routers' reports were read.
+    /// Records that all routers' reports were read.
     pub fn note_listed(&mut self) {
         self.is_listed = true;
     }
 
-    /// Reports cannot be read any more, or can again. Names do not age meanwhile: nobody can renew a report.
+    /// Sets whether the store is lost. Reports do not age while it is: no router can renew its report.
     pub fn set_lost(&mut self, is_lost: bool, now: Timestamp) {
         if self.is_lost && !is_lost {
-            self.named.values_mut().for_each(|read| *read = now);
+            self.reports.values_mut().for_each(|read| *read = now);
         }
         self.is_lost = is_lost;
     }
 
-    /// Drops the names of routers that have not renewed their reports.
+    /// Drops routers that have not renewed their reports.
     pub fn expire(&mut self, now: Timestamp) {
         if !self.is_lost {
-            self.named.retain(|_, read| now.saturating_sub(*read) < REPORT_TTL);
+            self.reports.retain(|_, read| now.saturating_sub(*read) < REPORT_TTL);
         }
     }
 
-    /// The most routers that there may be, where `counted` are known by loaders and this one lives since `started`.
+    /// Upper bound of the number of routers, given `counted` by loaders and the `started` time of this router.
     ///
-    /// A router that no loader tells of others is not the only one for that. Their reports in the store name them;
-    /// until those are read, the largest fleet is presumed.
-    pub fn presumed(&self, counted: usize, started: Timestamp, now: Timestamp) -> usize {
-        let is_new = now.saturating_sub(started) < NAMING_TIME;
-        if is_new || !self.is_listed { LARGEST_FLEET } else { counted.max(self.named() + 1) }
+    /// A router that no loader has sent others to need not be the only one. Other routers have reports in the
+    /// store; until those are read, the bound is the largest fleet.
+    pub fn max_routers(&self, counted: usize, started: Timestamp, now: Timestamp) -> usize {
+        let is_new = now.saturating_sub(started) < DISCOVERY_TIME;
+        if is_new || !self.is_listed { LARGEST_FLEET } else { counted.max(self.report_count() + 1) }
     }
 
-    /// Zones of `all` whose number is to be asked now, at this router's turn `turn`: all in its first turns,
-    /// later those of which it does not know any, and one of the others.
+    /// Zones of `all` whose number of routers to query in round `round`: all in the first rounds, later those
+    /// without a known number and one of the others.
     pub fn zones_to_ask<'a>(
         &self,
         all: &'a [ZoneName],
-        turn: usize,
+        round: usize,
         now: Timestamp,
     ) -> Vec<&'a ZoneName> {
-        let next = all.get(turn % all.len().max(1));
-        let asked = all.iter().filter(|zone| {
-            turn < EARLY_TURNS || Some(*zone) == next || self.counted(zone, now) == 0
+        let next = all.get(round % all.len().max(1));
+        let due = all.iter().filter(|zone| {
+            round < EARLY_ROUNDS || Some(*zone) == next || self.counted(zone, now) == 0
         });
-        asked.collect()
+        due.collect()
     }
 
     /// The other routers as the control thread sees them, for the router at `own` in `zone`.
@@ -313,7 +315,7 @@
         }
     }
 
-    /// All but the router at `own`, in order.
+    /// All live routers but the one at `own`, sorted.
     pub fn peers(&self, own: SocketAddr, now: Timestamp) -> Vec<PeerRouter> {
         let alive = self
             .seen
@@ -322,7 +324,7 @@
         alive.map(|(peer, _)| *peer).collect()
     }
 
-    /// Routers in all, the one at `own` in `zone` counted.
+    /// Number of all routers, including the one at `own` in `zone`.
     pub fn count(&self, zone: &ZoneName, own: SocketAddr, now: Timestamp) -> usize {
         let others = self.counts.keys().filter(|other| *other != zone);
         let elsewhere: usize = others.map(|other| self.counted(other, now)).sum();
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -1,4 +1,4 @@
-//! Which targets there are, from a list that lags and that loses entries while its keeper is out.
+//! The list of targets, which lags and loses entries during an outage of the store.
 
 use super::call::AdapterId;
 use crate::ids::{AdapterName, AdapterVersion, BaseName, ServiceName, Timestamp, ZoneName};
@@ -13,36 +13,34 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Id of a target. A target may start again under the id that it had; [`TargetIncarnation`] tells its
-/// incarnations apart.
+/// Id of a target. A target may restart under the same id; [`TargetIncarnation`] distinguishes the runs.
 pub type InstanceId = Arc<str>;
 
 /// One incarnation of a target, from one start to the next.
 ///
-/// A target that starts again holds nothing, knows nothing, and counts anew, also under the id that it had.
-/// Whatever is believed of a target is therefore kept by its incarnation: places and versions of the
-/// incarnation before would send calls to adapters that are gone, and its counts would fit orders that were
-/// meant for other contents.
+/// A target that restarts holds nothing and counts from 0, also under the same id. All state about a target is
+/// therefore kept by its incarnation: slots and versions of the earlier one would send calls to adapters that are
+/// gone, and its order count would match orders for other contents.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TargetIncarnation {
-    /// Its id.
+    /// Id of the target.
     pub id: InstanceId,
-    /// When it started, by its own clock in milliseconds since 1970; `None` if it does not say. Only good for
-    /// telling incarnations apart: a clock that was set back gives a later incarnation an earlier start.
+    /// When it started, by its own clock in milliseconds since 1970; `None` if it does not report it. Only
+    /// compared for equality: a clock that was set back gives a later incarnation an earlier start.
     pub started: Option<u64>,
 }
 
 impl TargetIncarnation {
-    /// Hash by which all processes know this incarnation.
+    /// Hash of this incarnation, the same in all processes.
     pub fn stable_hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
-        // Not as a seed: short ids and starts that differ alike would cancel out.
+        // The start is not the seed: differences in short ids and in starts would cancel out.
         hasher.update(&self.started.unwrap_or_default().to_le_bytes());
         hasher.update(self.id.as_bytes());
         hasher.digest()
     }
 
-    /// Whether both can be the same incarnation: a start that is not told fits any.
+    /// Whether both can be the same incarnation: an unknown start matches any.
     pub fn may_equal(&self, other: &Self) -> bool {
         let is_same_start = match (self.started, other.started) {
             (Some(own), Some(theirs)) => own == theirs,
@@ -53,7 +51,7 @@
 }
 
 impl From<&str> for TargetIncarnation {
-    /// An incarnation of a target that does not say when it started.
+    /// An incarnation with an unknown start.
     fn from(id: &str) -> Self {
         Self { id: id.into(), started: None }
     }
@@ -68,12 +66,12 @@
     }
 }
 
-/// Time for which an entry that is missing after an outage is still used. Entries lapse while the
-/// list's keeper is out and come back about two seconds after it does; dropping them at once would
-/// leave no targets at all, and keeping them longer would send work to targets that are gone.
+/// Time for which an entry that is missing after an outage is still used. Entries lapse during an outage of the
+/// store and return about two seconds after it; dropping them at once would leave no targets at all, and
+/// keeping them longer would send calls to targets that are gone.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_200);
 
-/// A base model that a target holds, with adapters of it.
+/// A base model that a target holds, with its adapters.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BaseHolding {
     /// The base model.
@@ -85,53 +83,52 @@
 }
 
 impl BaseHolding {
-    /// Ids of the adapters, in a fixed order.
+    /// Ids of the adapters, sorted by name.
     pub fn adapter_ids(&self) -> impl Iterator<Item = AdapterId> {
         let names = self.adapters.keys();
         names.map(|name| AdapterId { base: Arc::clone(&self.base), name: Arc::clone(name) })
     }
 }
 
-/// What the list says of a target.
+/// A target's entry in the list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetEntry {
-    /// Which incarnation of which target this is.
+    /// The target and its incarnation.
     #[serde(rename = "life")]
     pub incarnation: TargetIncarnation,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: ZoneName,
-    /// Calls that it works on at once.
+    /// Calls that it runs at once.
     pub slots: u32,
-    /// Grows from target to target: the later of two that were listed at one address has the higher
-    /// number.
+    /// Grows from target to target: of two entries at one address the later one has the higher number.
     pub generation: u64,
-    /// Whether it is draining and takes no new work.
+    /// Whether it is draining and takes no new calls.
     #[serde(rename = "is_leaving")]
     pub is_draining: bool,
-    /// Time for which it stays slow after its start.
+    /// Time for which it is still slow after its start (cold).
     pub cold: Duration,
     /// What it holds, if it is an engine.
     pub holdings: Vec<BaseHolding>,
 }
 
 impl TargetEntry {
-    /// Whether the target as it is here differs from `other` in the adapters that it holds and in nothing else.
+    /// Whether the entries are equal except for the adapters held.
     pub fn differs_in_adapters_only(&self, other: &Self) -> bool {
         self.without_adapters() == other.without_adapters()
     }
 
-    /// Hash of all but the adapters that it holds.
+    /// Hash of the entry without the adapters held.
     pub fn hash_without_adapters(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.without_adapters().hash(&mut hasher);
         hasher.finish()
     }
 
-    /// All but the adapters that it holds, to be compared and hashed.
+    /// The entry without the adapters held, to compare and hash.
     fn without_adapters(&self) -> impl Eq + Hash {
         let Self {
             incarnation,
@@ -169,30 +166,30 @@
     }
 }
 
-/// The list as a router uses it.
+/// The list of targets as a router uses it.
 #[derive(Debug, Default)]
 pub struct TargetList {
     entries: HashMap<InstanceId, Arc<TargetEntry>>,
-    /// Entries missing since an outage, and until when they are used all the same.
+    /// Entries missing since an outage, and until when they are still used.
     lapsed: HashMap<InstanceId, Timestamp>,
     grace_until: Timestamp,
     is_out: bool,
 }
 
 impl TargetList {
-    /// The list's keeper cannot be reached; what is known stays in use.
+    /// Records that the store cannot be reached; known entries stay in use.
     pub fn note_outage(&mut self) {
         self.is_out = true;
     }
 
-    /// The keeper answers again at `now`.
+    /// Records that the store answered at `now`; after an outage this starts the grace period.
     pub fn note_contact(&mut self, now: Timestamp) {
         if std::mem::take(&mut self.is_out) {
             self.grace_until = now + LAPSE_GRACE;
         }
     }
 
-    /// Replaces the list by a whole new one.
+    /// Replaces the list by a snapshot.
     pub fn replace(&mut self, entries: Vec<Arc<TargetEntry>>, now: Timestamp) {
         let mut known = std::mem::take(&mut self.entries);
         for entry in entries {
@@ -213,7 +210,7 @@
         }
     }
 
-    /// Drops held entries whose time is over; returns whether any went.
+    /// Drops lapsed entries whose grace period is over; returns whether there were any.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.lapsed.len();
         let entries = &mut self.entries;
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between routers and loaders: whole states in single datagrams, so that a lost, doubled
-//! or reordered one costs time and nothing else.
+//! Messages between routers and loaders. Each datagram holds a complete state, so that a lost, duplicated or
+//! reordered one only costs time.
 
 use super::{
     directory::{RouterDirectory, RouterPresence},
@@ -9,27 +9,27 @@
 use crate::ids::{AdapterName, AdapterVersion, BaseName, BootId};
 use serde::{Deserialize, Serialize};
 
-/// A datagram of a router to a loader.
+/// A datagram from a router to a loader.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RouterMessage {
-    /// Its load requests and uses at the engine.
+    /// The router's load requests and uses at the engine.
     Notice(RouterNotice),
-    /// That it is alive.
+    /// The router's heartbeat.
     Presence(RouterPresence),
-    /// What its customers use.
+    /// Usage of customers' limits at the router.
     Usage(UsageReport),
 }
 
-/// A datagram to a router: of a loader, or of a router that knows no loader.
+/// A datagram to a router, from a loader or from a router that knows no loader.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum LoaderMessage {
-    /// What it knows of its engine.
+    /// State of the loader's engine.
     Report(LoaderReport),
     /// Which routers are alive.
     Directory(RouterDirectory),
-    /// What a router's customers may use.
+    /// Units of customers' limits granted to the router.
     Grant(UsageGrant),
-    /// That another router is alive, told to one of those in its settings.
+    /// Heartbeat of another router, sent to the routers in its settings.
     Presence(RouterPresence),
 }
 
@@ -40,14 +40,14 @@
     pub base: BaseName,
     /// The adapter.
     pub adapter: AdapterName,
-    /// Oldest version that serves.
+    /// Oldest version that may run the calls.
     pub version: AdapterVersion,
-    /// Calls that wait for it now; 0 where it is wanted ahead of calls.
+    /// Calls that wait for it now; 0 for a prefetch.
     pub waiting: u16,
-    /// Rank of the most urgent call that waits; 0 is first.
+    /// Priority of the most urgent call that waits; 0 is first.
     pub priority: u8,
-    /// Time in ms within which the adapter must be there for a call that waits to meet its objective, of
-    /// the call that has most of it; 0 if all are late.
+    /// Time in ms within which the adapter must be loaded for a waiting call to meet its objective; the largest of
+    /// all waiting calls, 0 if all are late.
     pub slack_ms: u16,
 }
 
@@ -62,11 +62,11 @@
     pub running: u16,
     /// Calls sent since the last notice.
     pub started: u16,
-    /// Tokens of their prompts.
+    /// Prompt tokens of the calls sent since the last notice.
     pub started_tokens: u32,
 }
 
-/// A base model that the loader may put on its engine.
+/// A base model that the loader may load on an empty engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BaseOffer {
     /// The base model.
@@ -77,41 +77,41 @@
     pub adapter_mb: f32,
 }
 
-/// What a router tells a loader: all of its load requests and uses there.
+/// A router's state for one loader: all of its load requests and uses there.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterNotice {
-    /// The router's start.
+    /// Id of the router's start.
     pub boot: BootId,
     /// Grows with each notice of this start.
     pub sequence: u32,
-    /// The target that the router believes to stand beside the loader.
+    /// The loader's engine, as the router knows it.
     #[serde(rename = "life")]
     pub incarnation: TargetIncarnation,
     /// Adapter slots of an engine of the service.
     #[serde(rename = "adapter_places")]
     pub adapter_slots: u16,
-    /// Room for weights and adapters in MB.
+    /// Memory of an engine for weights and adapters in MB.
     pub memory_mb: f32,
-    /// Base models of the service; told with the first notice, and while the engine is believed to hold none.
+    /// Base models of the service; sent with the first notice, and while the router knows the engine as empty.
     pub bases: Vec<BaseOffer>,
-    /// Adapters wanted.
+    /// Adapters that the engine should hold.
     #[serde(rename = "wishes")]
     pub load_requests: Vec<LoadRequest>,
     /// Adapters in use.
     pub uses: Vec<AdapterUse>,
-    /// Whether the router wants a report in answer.
+    /// Whether the router requests a report in reply.
     #[serde(rename = "asks")]
     pub wants_report: bool,
 }
 
-/// What a loader tells routers of its engine.
+/// A loader's report of its engine to routers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoaderReport {
-    /// The loader's start.
+    /// Id of the loader's start.
     pub boot: BootId,
     /// Grows with each report of this start.
     pub sequence: u32,
-    /// The engine that the loader orders.
+    /// The engine beside the loader.
     #[serde(rename = "life")]
     pub incarnation: TargetIncarnation,
     /// Whether the engine answers the loader.
@@ -119,14 +119,14 @@
     /// Whether the engine is draining.
     #[serde(rename = "is_leaving")]
     pub is_draining: bool,
-    /// What the engine holds.
+    /// Base models and adapters held.
     pub holdings: Vec<BaseHolding>,
-    /// How often each of their adapters is wanted here, as [`encode_rate`] gives it, in the same order.
+    /// Demand for each of their adapters at this engine, encoded by [`encode_rate`], in the same order.
     ///
     /// [`encode_rate`]: super::demand::encode_rate
     pub rates: Vec<u16>,
-    /// Adapters that could be loaded at once, without waiting for runs to end; below 0 where calls wait for
-    /// slots already.
+    /// Adapters that could be loaded at once, without waiting for runs to end; negative if loads already wait for
+    /// slots.
     #[serde(rename = "room")]
     pub free_slots: i32,
     /// Adapters being loaded or replaced.
@@ -134,15 +134,15 @@
     pub loading: Vec<(BaseName, AdapterName)>,
     /// Expected time in ms of a load from the weight store.
     pub load_ms: u16,
-    /// Wait in ms before one could begin.
+    /// Wait in ms before such a load could begin.
     pub queue_ms: u16,
     /// Calls that the engine runs.
     pub active: u16,
-    /// Calls that wait at the engine.
+    /// Calls queued at the engine.
     pub queued: u16,
-    /// Tokens of memory in use that cannot be given up.
+    /// Tokens of KV cache in use that cannot be evicted.
     pub kv_used: u32,
-    /// Tokens of prompts that the engine has most likely not prefilled yet, of all routers' calls.
+    /// Estimate of prompt tokens of all routers' calls that the engine has not prefilled yet.
     #[serde(rename = "unread_tokens")]
     pub prefill_tokens: u32,
 }
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -1,10 +1,10 @@
-//! Which loaders a router tells of its calls and asks for reports, and when.
+//! When a router sends notices to which loaders, and requests their reports.
 //!
-//! Pattern: while every router told every loader of itself and every loader told every router of its engine,
-//! what one host sent, read and computed grew with the fleet: 69 kB a second at a router of a fleet of 300
-//! hosts. A router needs to know an engine only when it is about to send a call there, and a loader needs to
-//! know of a router only while that has calls or load requests at its engine. So a router asks before it
-//! sends, which costs a trip of about a millisecond, and what a host sends grows with its own calls alone.
+//! When every router sent its state to every loader and every loader to every router, the traffic and work of
+//! one host grew with the fleet: 69 kB a second at a router of a fleet of 300 hosts. A router needs an engine's
+//! state only when it is about to send a call there, and a loader needs a router's state only while that has
+//! calls or load requests at its engine. So a router requests a report before it sends, which costs a round
+//! trip of about a millisecond, and a host's traffic grows with its own calls only.
 
 use super::{
     membership::TargetIncarnation, messages::RouterNotice, target::TargetState, targets::TargetPool,
@@ -12,28 +12,27 @@
 use crate::ids::{BootId, Timestamp};
 use std::{collections::HashMap, time::Duration};
 
-/// Pause after which a report request that was not answered is sent again: datagrams are lost at times.
+/// Pause after which an unanswered report request is sent again: datagrams may be lost.
 const REPORT_REQUEST_PAUSE: Duration = Duration::from_millis(50);
-/// Shortest pause between notices to one loader that a new load request does not hurry: what began or ended
-/// within it is told together.
+/// Minimum pause between notices to one loader; calls that begin or end within it are reported together.
 const NOTICE_GAP: Duration = Duration::from_millis(100);
-/// Pause between notices to a loader at whose engine calls run and nothing changes; it forgets a router
-/// after 2.5 s, and the adapters of its calls would then be evicted under them.
+/// Pause between notices to a loader at whose engine calls run and nothing changes. The loader drops a router's
+/// state after 2.5 s, and adapters in use by its calls would then be evicted.
 const NOTICE_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between report requests to a loader where calls wait: it tells unasked that an adapter has come, but
-/// not how much longer one will take.
+/// Pause between report requests to a loader where calls wait. It reports unasked that an adapter is loaded, but
+/// not how much longer a load will take.
 const WAIT_PAUSE: Duration = Duration::from_millis(300);
 
-/// When a loader was last told.
+/// The last notice to a loader.
 #[derive(Clone, Copy, Debug)]
 struct SentNotice {
     at: Timestamp,
-    asked: Timestamp,
-    /// Whether it was told of load requests or uses, so that it must be told once more when they have ended.
+    requested: Timestamp,
+    /// Whether it held load requests or uses, so that one more notice must follow when they have ended.
     was_engaged: bool,
 }
 
-/// The notices of one router.
+/// Schedule of one router's notices.
 #[derive(Debug)]
 pub struct NoticeSchedule {
     boot: BootId,
@@ -42,12 +41,13 @@
 }
 
 impl NoticeSchedule {
-    /// Starts having told nobody; `boot` tells this start of the router from others.
+    /// Starts with no notices sent; `boot` identifies this start of the router.
     pub fn new(boot: BootId) -> Self {
         Self { boot, sequence: 0, sent: HashMap::new() }
     }
 
-    /// Engines whose loaders are due, with `routers` routers in all; `draw` gives numbers uniform in 0 to 1.
+    /// Engines whose loaders are due a notice, in a fleet of `routers`; `draw` returns random numbers, uniform
+    /// from 0 to 1.
     pub fn due(
         &mut self,
         pool: &TargetPool,
@@ -60,15 +60,15 @@
             let sent = self.sent.get(&target.entry.incarnation);
             match pause(target, sent, now) {
                 Some(pause) => sent.is_none_or(|sent| now.saturating_sub(sent.at) >= pause),
-                // Somebody must tell the loader of an empty engine what to put there. One router in all
-                // at each look is enough, and no number of routers too many.
+                // The loader of an empty engine needs an offer of base models. One router of the fleet
+                // in each round is enough, whatever the size of the fleet.
                 None => target.is_empty_engine(now) && draw() * (routers as f64) < 1.0,
             }
         });
         engines.map(|target| target.entry.incarnation.clone()).collect()
     }
 
-    /// The notice to an engine's loader, which counts as sent.
+    /// Makes a notice to an engine's loader and records it as sent.
     pub fn make(
         &mut self,
         pool: &mut TargetPool,
@@ -82,18 +82,20 @@
         let last = self.sent.get(incarnation).copied();
         let is_offer = is_empty || last.is_none();
         let bases = if is_offer { TargetPool::base_offers(spec) } else { Vec::new() };
-        let asked_lately = last.is_some_and(|sent| now.saturating_sub(sent.asked) < WAIT_PAUSE);
+        let requested_recently =
+            last.is_some_and(|sent| now.saturating_sub(sent.requested) < WAIT_PAUSE);
         let wants_report = target.is_report_pending(now)
             || is_empty
-            || (target.has_load_request() && !asked_lately);
-        let asked = if wants_report { now } else { last.map_or(Duration::ZERO, |sent| sent.asked) };
+            || (target.has_load_request() && !requested_recently);
+        let requested =
+            if wants_report { now } else { last.map_or(Duration::ZERO, |sent| sent.requested) };
         let was_engaged = target.is_engaged();
         let target = pool.target_mut(incarnation)?;
         if is_empty {
-            // Calls wait for its base model, but not if nobody is there to load it.
+            // Calls wait for its base model only while its loader answers; so request a report.
             target.request_report(now);
         }
-        self.sent.insert(incarnation.clone(), SentNotice { at: now, asked, was_engaged });
+        self.sent.insert(incarnation.clone(), SentNotice { at: now, requested, was_engaged });
         self.sequence += 1;
         Some(RouterNotice {
             boot: self.boot,
@@ -109,7 +111,7 @@
     }
 }
 
-/// Pause between notices to a target's loader; `None` if it need not be told.
+/// Pause between notices to a target's loader; `None` if it needs none.
 fn pause(target: &TargetState, sent: Option<&SentNotice>, now: Timestamp) -> Option<Duration> {
     let was_engaged = sent.is_some_and(|sent| sent.was_engaged);
     if target.is_report_pending(now) {
--- a/crates/core/src/direct/orders.rs
+++ b/crates/core/src/direct/orders.rs
@@ -1,4 +1,4 @@
-//! What an engine says of itself, the orders that it takes, and its answers.
+//! An engine's report, the orders that it accepts, and its answers.
 
 use super::{
     call::AdapterId,
@@ -6,27 +6,27 @@
 };
 use crate::ids::{AdapterVersion, BaseName};
 
-/// What the engine says of itself.
+/// The engine's report of its state.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineReport {
     /// Base models and adapters held.
     pub holdings: Vec<BaseHolding>,
     /// Adapters being loaded.
     pub loading: Vec<(AdapterId, AdapterVersion)>,
-    /// Whether a load or unload of a base model is under way.
+    /// Whether a load or unload of a base model is in progress.
     pub is_busy: bool,
     /// Orders accepted since the engine's start.
     pub order_count: u64,
-    /// Calls that run.
+    /// Running calls.
     pub active: u16,
-    /// Calls that wait.
+    /// Queued calls.
     pub queued: u16,
-    /// Tokens of memory in use that cannot be given up.
+    /// Tokens of KV cache in use that cannot be evicted.
     pub kv_used: u32,
     /// Whether the engine is draining.
     pub is_draining: bool,
-    /// When this incarnation of the engine started, as in [`TargetIncarnation`]; the answer to a health check
-    /// tells the id.
+    /// When this incarnation of the engine started, as in [`TargetIncarnation`]; its id comes with the answer to
+    /// a health check.
     pub started: Option<u64>,
 }
 
@@ -48,13 +48,13 @@
         all.filter(|id| !self.is_loading(id))
     }
 
-    /// Slots taken by adapters held and by those on their way.
+    /// Slots taken by adapters held or being loaded.
     pub fn occupied(&self) -> usize {
         let held: usize = self.holdings.iter().map(|holding| holding.adapters.len()).sum();
         held + self.loading.iter().filter(|(id, _)| self.held(id).is_none()).count()
     }
 
-    /// The base model of that name, to change what is held of it.
+    /// The holding of a base model, to change its adapters.
     pub(super) fn holding_mut(&mut self, base: &str) -> Option<&mut BaseHolding> {
         self.holdings.iter_mut().find(|holding| &*holding.base == base)
     }
@@ -71,29 +71,29 @@
     UnloadAdapter(AdapterId),
 }
 
-/// An order to the engine.
+/// An order to the engine, with a compare-and-set on its order count.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineOrder {
-    /// What it does.
+    /// The action.
     pub verb: OrderVerb,
-    /// Order count that the engine must have.
+    /// Order count that the engine must have for the order to take effect.
     pub order_count: u64,
-    /// The engine's incarnation for which it is meant.
+    /// Incarnation of the engine that must carry it out.
     pub incarnation: TargetIncarnation,
 }
 
-/// What the engine answered to an order.
+/// The engine's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
     /// It is being carried out.
     Accepted,
-    /// It is done, or held already.
+    /// It is done, or the adapter was held already.
     Done,
-    /// Another order is under way, or the order count differs.
+    /// Another order is in progress, or the order count differs.
     Conflict,
-    /// It went to another incarnation of the engine.
+    /// Another incarnation of the engine received it.
     WrongInstance,
-    /// It was refused for good.
+    /// It was refused and will not be carried out.
     Refused,
     /// No answer: it may be carried out later.
     Silent,
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -1,5 +1,4 @@
-//! What a router knows of the platform, as it tells it to another router that cannot reach the
-//! platform itself.
+//! A router's state of the platform, and the snapshot of it for a router that cannot reach the platform itself.
 
 use super::{
     call::{AdapterId, AdapterRelease},
@@ -14,27 +13,27 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
 
-/// Hash of a list of targets, in any order.
+/// Hash of a list of targets; independent of their order.
 pub type ListHash = u64;
 
-/// What one router tells another.
+/// One router's answer to another that queries a snapshot.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct PeerSnapshot {
-    /// Whether the router that tells it follows the platform without interruption.
+    /// Whether the answering router follows the platform without gaps.
     pub is_current: bool,
-    /// The configuration, if it is newer than the one that the asker has.
+    /// The configuration, if it is newer than that of the querying router.
     pub config: Option<ConfigRecord>,
-    /// The list of targets; `None` if it was never read, or the asker has the same.
+    /// The list of targets; `None` if it was never read, or the querying router has the same.
     pub targets: Option<Vec<Arc<TargetEntry>>>,
     /// Newest versions of adapters.
     pub releases: Vec<(Arc<str>, Arc<str>, AdapterVersion)>,
-    /// What routers tell of crashes.
+    /// Routers' reports of crashes.
     pub crashes: Vec<Arc<CrashReport>>,
-    /// Revisions up to which the teller knows each kind of object; `None` for one that it has not read.
+    /// Revision up to which the answering router knows each kind of object; `None` for one that it has not read.
     pub revisions: Vec<Option<u64>>,
 }
 
-/// What a router has read of the platform so far, whether directly or from a peer.
+/// The platform's state as a router has read it so far, from the platform or from another router.
 #[derive(Debug, Default)]
 pub struct FollowedState {
     config: Option<Arc<RouteConfig>>,
@@ -50,19 +49,19 @@
         self.config.as_ref().map_or(0, |config| config.number)
     }
 
-    /// Whether a configuration and a list of targets are known.
+    /// Whether both a configuration and a list of targets were read.
     pub fn is_complete(&self) -> bool {
         self.config.is_some() && self.has_targets
     }
 
-    /// Takes a configuration unless it is older.
+    /// Applies a configuration unless it is older.
     pub fn take_config(&mut self, config: &Arc<RouteConfig>) {
         if config.number >= self.config_number() {
             self.config = Some(Arc::clone(config));
         }
     }
 
-    /// Takes a whole list of targets.
+    /// Replaces the list of targets.
     pub fn take_list(&mut self, entries: &[Arc<TargetEntry>]) {
         let entries =
             entries.iter().map(|entry| (Arc::clone(&entry.incarnation.id), Arc::clone(entry)));
@@ -70,7 +69,7 @@
         self.has_targets = true;
     }
 
-    /// Takes a change of the list.
+    /// Applies a change of the list.
     pub fn take_change(&mut self, change: &ListChange) {
         match change {
             ListChange::Put(entry) => {
@@ -87,7 +86,7 @@
         self.targets.get(&incarnation.id).is_some_and(|entry| entry.incarnation == *incarnation)
     }
 
-    /// The changes that turn the list as it is known into `snapshot`.
+    /// The changes that turn the known list into `snapshot`.
     pub fn changes_to(&self, snapshot: &[SharedChange]) -> Vec<SharedChange> {
         let entries = snapshot.iter().filter_map(|change| match change {
             SharedChange::Target(ListChange::Put(entry)) => Some(entry),
@@ -105,9 +104,9 @@
         changes
     }
 
-    /// A change that was just received, as the log keeps it.
+    /// Classifies the importance of a change that was just received.
     ///
-    /// What an engine holds is told by its loader, so that a change of its adapters alone is no more than a hint.
+    /// Routers learn an engine's adapters from its loader, so a change of adapters alone is only a hint.
     pub fn classify_change(&self, change: SharedChange) -> LoggedChange {
         let is_hint = match &change {
             SharedChange::Target(ListChange::Put(entry)) => {
@@ -120,13 +119,13 @@
         LoggedChange { change, importance }
     }
 
-    /// Takes a version of an adapter unless it is older.
+    /// Applies a version of an adapter unless it is older.
     pub fn take_release(&mut self, release: &AdapterRelease) {
         let known = self.releases.entry(release.adapter.clone()).or_insert(release.version);
         *known = release.version.max(*known);
     }
 
-    /// Takes a report of crashes unless it is older.
+    /// Applies a report of crashes unless it is older.
     pub fn take_crashes(&mut self, report: &Arc<CrashReport>, now: Timestamp) {
         self.crashes.take(report, now);
     }
@@ -162,15 +161,14 @@
         releases.map(SharedChange::Release).collect()
     }
 
-    /// Tells lists apart that name other targets, or say something else of them than which adapters they hold;
-    /// `None` if the list was never read.
+    /// Hash of the list without the adapters that targets hold; `None` if the list was never read.
     pub fn list_hash(&self) -> Option<ListHash> {
         let hashes = self.targets.values().map(|entry| entry.hash_without_adapters());
         self.has_targets.then(|| hashes.fold(0, u64::wrapping_add))
     }
 
-    /// What a peer is told that has the configuration `number`, and a list of hash `list`; all is known up to
-    /// `revisions`.
+    /// The snapshot for a router that has the configuration `number` and a list with the hash `list`; the state
+    /// is complete up to `revisions`.
     pub fn snapshot(
         &self,
         number: ConfigNumber,
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -192,9 +192,9 @@
         let mut peer_table = RouterTable::default();
         peer_table.note_listed();
         for other in (0..all).filter(|other| *other != router) {
-            peer_table.note_name(&format!("r{other}").into(), self.now());
+            peer_table.note_report(&format!("r{other}").into(), self.now());
         }
-        FleetSize::new(1, peer_table.presumed(1, self.started[router], self.now()))
+        FleetSize::new(1, peer_table.max_routers(1, self.started[router], self.now()))
     }
 
     fn limit_rule(&self) -> LimitRule {
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -201,22 +201,22 @@
 fn a_router_that_met_nobody_presumes_others() {
     let mut peer_table = RouterTable::default();
     let (started, later) = (ms(1_000), ms(10_000));
-    assert!(peer_table.presumed(1, started, later) >= 330, "nothing was read");
+    assert!(peer_table.max_routers(1, started, later) >= 330, "nothing was read");
     peer_table.note_listed();
-    assert!(peer_table.presumed(1, started, ms(1_500)) >= 330, "others have just started too");
-    assert_eq!(peer_table.presumed(1, started, later), 1);
+    assert!(peer_table.max_routers(1, started, ms(1_500)) >= 330, "others have just started too");
+    assert_eq!(peer_table.max_routers(1, started, later), 1);
     for name in ["a", "b", "a"] {
-        peer_table.note_name(&name.into(), later);
+        peer_table.note_report(&name.into(), later);
     }
-    assert_eq!(peer_table.presumed(1, started, later), 3);
-    assert_eq!(peer_table.presumed(7, started, later), 7, "loaders know more");
+    assert_eq!(peer_table.max_routers(1, started, later), 3);
+    assert_eq!(peer_table.max_routers(7, started, later), 7, "loaders know more");
     // Nobody can renew a report while the store is out.
     peer_table.set_lost(true, later);
     peer_table.expire(ms(100_000_000));
-    assert_eq!(peer_table.presumed(1, started, ms(100_000_000)), 3);
+    assert_eq!(peer_table.max_routers(1, started, ms(100_000_000)), 3);
     peer_table.set_lost(false, ms(100_000_000));
     peer_table.expire(ms(100_000_001));
-    assert_eq!(peer_table.presumed(1, started, ms(100_000_001)), 3);
+    assert_eq!(peer_table.max_routers(1, started, ms(100_000_001)), 3);
     peer_table.expire(ms(200_000_000));
-    assert_eq!(peer_table.presumed(1, started, ms(200_000_000)), 1, "gone for good");
+    assert_eq!(peer_table.max_routers(1, started, ms(200_000_000)), 1, "gone for good");
 }
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -275,7 +275,7 @@
 impl NamedCount {
     /// Writes a line if it has changed, at most one a second.
     fn tell(&mut self, context: &RouterContext, now: Timestamp) {
-        let named = context.routers_mut().named();
+        let named = context.routers_mut().report_count();
         if named != self.told && now.saturating_sub(self.told_at) >= Duration::from_secs(1) {
             info!(context.logger, "routers known by their reports"; "step" => "routers",
                 "routers" => named);
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -191,7 +191,7 @@
     /// How many routers there are, and may be.
     pub(crate) fn fleet_size(&self, now: Timestamp) -> FleetSize {
         let known = self.router_count();
-        FleetSize::new(known, self.routers.borrow().presumed(known, self.started, now))
+        FleetSize::new(known, self.routers.borrow().max_routers(known, self.started, now))
     }
 
     /// Changes what is known of the other routers.
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -132,7 +132,7 @@
     /// Takes what another router tells of crashes.
     pub(crate) fn take_crashes(&self, report: &Arc<CrashReport>, now: Timestamp) {
         if report.router != self.settings.borrow().name {
-            self.routers_mut().note_name(&report.router, now);
+            self.routers_mut().note_report(&report.router, now);
         }
         if !self.crashes.take_report(report, now) || report.is_empty() {
             return;
