--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -215,11 +215,11 @@
         let before = self.lapsed.len();
         let entries = &mut self.entries;
         self.lapsed.retain(|id, until| {
-            let is_held = now < *until;
-            if !is_held {
+            let is_kept = now < *until;
+            if !is_kept {
                 entries.remove(id);
             }
-            is_held
+            is_kept
         });
         before != self.lapsed.len()
     }
@@ -245,9 +245,9 @@
     }
 
     fn remove(&mut self, id: &InstanceId, now: Timestamp) {
-        let is_held = self.is_out || now < self.grace_until;
+        let is_kept = self.is_out || now < self.grace_until;
         let is_draining = self.entries.get(id).is_none_or(|entry| entry.is_draining);
-        if is_held && !is_draining {
+        if is_kept && !is_draining {
             let until = self.grace_until.max(now);
             self.lapsed.entry(Arc::clone(id)).or_insert(until);
         } else {
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -1,4 +1,4 @@
-//! Which routers are alive, as routers and loaders tell each other.
+//! Presence of routers, as registered at loaders and reported to other routers.
 
 use super::support::ms;
 use plantain_core::{
@@ -24,62 +24,62 @@
     }
 }
 
-struct MeetingCase {
+struct RegistryCase {
     name: &'static str,
     zone: &'static str,
     engines: &'static [(&'static str, &'static str)],
-    /// Zones in which the engines chosen stand.
-    chosen: &'static [&'static str],
+    /// Zones of the selected engines.
+    selected: &'static [&'static str],
 }
 
 #[test]
 fn routers_register_in_their_zone_if_it_has_engines() {
     let cases = [
-        MeetingCase {
+        RegistryCase {
             name: "two of the own zone",
             zone: "a",
             engines: &[("e1", "a"), ("e2", "b"), ("e3", "a"), ("e4", "a"), ("e5", "b")],
-            chosen: &["a", "a"],
+            selected: &["a", "a"],
         },
-        MeetingCase {
+        RegistryCase {
             name: "one of the own zone, and one elsewhere",
             zone: "a",
             engines: &[("e1", "b"), ("e2", "a"), ("e3", "b")],
-            chosen: &["a", "b"],
+            selected: &["a", "b"],
         },
-        MeetingCase {
+        RegistryCase {
             name: "a zone without engines",
             zone: "c",
             engines: &[("e1", "a"), ("e2", "a"), ("e3", "a")],
-            chosen: &["a", "a"],
+            selected: &["a", "a"],
         },
-        MeetingCase { name: "no engine at all", zone: "a", engines: &[], chosen: &[] },
+        RegistryCase { name: "no engine at all", zone: "a", engines: &[], selected: &[] },
     ];
     for case in cases {
         let engines: Vec<(InstanceId, ZoneName)> =
             case.engines.iter().map(|(id, zone)| ((*id).into(), (*zone).into())).collect();
-        let chosen = registry_targets(case.zone, engines.iter().map(|(id, zone)| (id, zone)));
+        let selected = registry_targets(case.zone, engines.iter().map(|(id, zone)| (id, zone)));
         let backwards = engines.iter().rev().map(|(id, zone)| (id, zone));
-        assert_eq!(chosen, registry_targets(case.zone, backwards), "{}: any order", case.name);
+        assert_eq!(selected, registry_targets(case.zone, backwards), "{}: any order", case.name);
         let zone_of = |id: &InstanceId| {
             let found = engines.iter().find(|(own, _)| own == id);
             found.map(|(_, zone)| zone.to_string())
         };
-        let zones: Vec<String> = chosen.iter().filter_map(zone_of).collect();
-        assert_eq!(zones, case.chosen, "{}", case.name);
+        let zones: Vec<String> = selected.iter().filter_map(zone_of).collect();
+        assert_eq!(zones, case.selected, "{}", case.name);
     }
 }
 
-/// Guards against a start in which all routers that are named early read the store for themselves: their lists then share
-/// its link, and all know their targets late. Each goes by those that came by before it.
+/// Guards against a start at which many routers read the store: their lists would share its link, and all would
+/// get their targets late. Each router decides by those that registered before it.
 #[test]
 fn few_routers_of_a_zone_read_the_store_at_a_start() {
     for routers in [6, 60, 200, 400] {
         let mut registry = PresenceRegistry::default();
         let reads = |index: &u16| {
-            let named =
+            let listed =
                 registry.take(&presence("a", *index, true), ms(u64::from(*index))).same_zone;
-            RelayOrder::new(named).bootstrap_upstream(router(*index)).is_none()
+            RelayOrder::new(listed).bootstrap_upstream(router(*index)).is_none()
         };
         let readers = (0..routers).filter(reads).count() as u32;
         let most = 3 * u32::from(routers).ilog2() + 2;
@@ -87,8 +87,8 @@
     }
 }
 
-/// A zone has more routers than one answer names. All of them must still agree on the one that follows the
-/// store for the zone, and count all.
+/// A zone has more routers than one answer lists. All of them must still agree on the watcher of the store, and
+/// count all routers.
 #[test]
 fn many_routers_of_a_zone_agree_on_their_watcher_and_number() {
     let mut registry = PresenceRegistry::default();
@@ -108,7 +108,7 @@
     }
 }
 
-/// Three routers of a zone of twelve die at once. The others must not count them for ever.
+/// Three of a zone's twelve routers crash at once. The others must not count them forever.
 #[test]
 fn routers_that_died_are_not_counted_for_long() {
     let mut registry = PresenceRegistry::default();
@@ -129,7 +129,8 @@
     }
 }
 
-/// Routers of other zones come by only to ask for a number. Counted here, each would count several times.
+/// Routers of other zones send their presence only to query a number. Counted here, each would count several
+/// times.
 #[test]
 fn a_zone_is_counted_where_its_routers_register() {
     let mut registry = PresenceRegistry::default();
@@ -139,13 +140,13 @@
     let directory = registry.take(&presence("b", 50, false), ms(10));
     assert_eq!(directory.counts, [("a".into(), 5)]);
     assert_eq!(directory.same_zone, [router(50)]);
-    assert_eq!(directory.other_zones.len(), 4, "to be asked while zone b cannot reach the store");
+    assert_eq!(directory.other_zones.len(), 4, "to query while zone b cannot reach the store");
 }
 
 /// A zone is cut off. Its routers must still count in the shares of a common budget for a while, since they
-/// go on taking from it, but not for ever.
+/// keep using it, but not forever.
 #[test]
-fn routers_of_a_parted_zone_count_for_a_while() {
+fn routers_of_a_partitioned_zone_count_for_a_while() {
     let mut there = PresenceRegistry::default();
     let mut here = PresenceRegistry::default();
     let mut peer_table = RouterTable::default();
@@ -162,10 +163,10 @@
     }
 }
 
-/// Answers of loaders that hear of a change at different times cross. The highest number counts: with too
-/// low a one each router takes too much of the budget that all share.
+/// Loaders learn of a change at different times, so their answers differ. The highest count must apply: with too
+/// low a count each router would take too much of a shared budget.
 #[test]
-fn the_highest_number_reported_lately_counts() {
+fn the_highest_recent_count_applies() {
     let mut full = PresenceRegistry::default();
     let mut fresh = PresenceRegistry::default();
     for index in 0..10 {
@@ -178,11 +179,11 @@
     assert_eq!(peer_table.count(&"a".into(), router(0), ms(20)), 10);
 }
 
-/// Routers of a fleet that has just started must learn all numbers soon, and later not ask for all of them
-/// each second. One whose answers were lost must ask for the number of that zone again at its next turn, and
-/// not when the zone comes round.
+/// Routers of a fleet that has just started must learn all numbers soon, and later not query all of them each
+/// second. After a lost answer a router must query that zone again in its next round, not only when it is the
+/// zone's turn.
 #[test]
-fn zones_without_a_number_are_asked_each_turn() {
+fn zones_without_a_number_are_queried_each_round() {
     let mut there = PresenceRegistry::default();
     let mut peer_table = RouterTable::default();
     let zones: Vec<ZoneName> = vec!["b".into(), "c".into(), "d".into()];
@@ -196,9 +197,9 @@
     assert!(peer_table.zones_to_ask(&[], 10, ms(10_000)).is_empty());
 }
 
-/// Guards against a router that takes itself for the only one because nobody has told it of others yet.
+/// Guards against a router that counts itself as the only one because no loader has sent it others yet.
 #[test]
-fn a_router_that_met_nobody_presumes_others() {
+fn a_router_that_knows_no_others_expects_the_largest_fleet() {
     let mut peer_table = RouterTable::default();
     let (started, later) = (ms(1_000), ms(10_000));
     assert!(peer_table.max_routers(1, started, later) >= 330, "nothing was read");
@@ -210,7 +211,7 @@
     }
     assert_eq!(peer_table.max_routers(1, started, later), 3);
     assert_eq!(peer_table.max_routers(7, started, later), 7, "loaders know more");
-    // Nobody can renew a report while the store is out.
+    // No router can renew its report while the store is out.
     peer_table.set_lost(true, later);
     peer_table.expire(ms(100_000_000));
     assert_eq!(peer_table.max_routers(1, started, ms(100_000_000)), 3);
@@ -218,5 +219,5 @@
     peer_table.expire(ms(100_000_001));
     assert_eq!(peer_table.max_routers(1, started, ms(100_000_001)), 3);
     peer_table.expire(ms(200_000_000));
-    assert_eq!(peer_table.max_routers(1, started, ms(200_000_000)), 1, "gone for good");
+    assert_eq!(peer_table.max_routers(1, started, ms(200_000_000)), 1, "reports have expired");
 }
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet of routers and loaders in simulated time: the real state machines, which exchange the real
-//! messages over a network that delays, reorders and loses them.
+//! A fleet of routers and loaders in simulated time. The real state machines exchange the real messages over a
+//! network that delays, reorders and loses them.
 
 use super::super::support::{BASE, ENGINES, adapter, config, model_call, ms, target};
 use super::plan::{FleetCounts, FleetPlan};
@@ -30,21 +30,21 @@
 const RUN_MS: u64 = 400;
 /// Pause between steps of a process, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Pause between a router's turns of telling that it is alive, in milliseconds.
+/// Pause between a router's presence messages, in milliseconds.
 const PRESENCE_MS: u64 = 1_000;
-/// Pause between looks at due notices, in milliseconds.
-const LOOK_MS: u64 = 50;
-/// Time after which a call that waits looks again, in milliseconds.
+/// Pause between a router's checks for due notices, in milliseconds.
+const CHECK_MS: u64 = 50;
+/// Time after which a waiting call selects a target again, in milliseconds.
 const WAIT_MS: u64 = 40;
 
 enum Event {
     ToLoader(usize, usize, Box<RouterMessage>),
     ToRouter(usize, usize, Box<LoaderMessage>),
     StepLoader(usize),
-    LookRouter(usize),
+    CheckNotices(usize),
     Presence(usize),
     Call(usize),
-    /// A call, of which it is known when it came and whether its adapter was there then.
+    /// A waiting call: router, adapter, arrival time, and whether an engine held its adapter then.
     Retry(usize, String, u64, bool),
     Ended(usize, TargetIncarnation, AdapterId),
 }
@@ -64,7 +64,7 @@
     is_alive: bool,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Fleet {
     plan: FleetPlan,
     now: u64,
@@ -138,16 +138,16 @@
             fleet.push(at, Event::StepLoader(index));
         }
         for index in 0..plan.routers {
-            for event in [Event::LookRouter(index), Event::Presence(index), Event::Call(index)] {
-                let at = fleet.rng.random_range(0..LOOK_MS);
+            for event in [Event::CheckNotices(index), Event::Presence(index), Event::Call(index)] {
+                let at = fleet.rng.random_range(0..CHECK_MS);
                 fleet.push(at, event);
             }
         }
         fleet
     }
 
-    /// Plays until `until` in milliseconds.
-    pub fn play(&mut self, until: u64) {
+    /// Simulates until the time `until` in milliseconds.
+    pub fn simulate(&mut self, until: u64) {
         while let Some(Reverse((at, _, id))) = self.queue.peek().copied() {
             if at > until {
                 break;
@@ -161,7 +161,7 @@
         self.now = until;
     }
 
-    /// All processes end and start again at once; engines keep what they hold.
+    /// Kills and restarts all processes at once; engines keep what they hold.
     pub fn kill_all(&mut self) {
         self.killed_at = self.now;
         self.counts.first_sent_ms = None;
@@ -175,12 +175,12 @@
         }
     }
 
-    /// A loader ends for good.
+    /// Ends a loader without a restart.
     pub fn kill_loader(&mut self, index: usize) {
         self.loaders[index].is_alive = false;
     }
 
-    /// Routers that each router counts.
+    /// Distinct counts of routers that the routers have.
     pub fn router_counts(&self) -> HashSet<usize> {
         let counts = self.routers.iter().enumerate();
         counts
@@ -218,24 +218,24 @@
                 self.step_loader(index);
                 self.push(self.now + STEP_MS, Event::StepLoader(index));
             }
-            Event::LookRouter(index) => {
-                self.look(index);
-                self.push(self.now + LOOK_MS, Event::LookRouter(index));
+            Event::CheckNotices(index) => {
+                self.check_notices(index);
+                self.push(self.now + CHECK_MS, Event::CheckNotices(index));
             }
             Event::Presence(index) => {
-                self.tell_presence(index);
+                self.send_presence(index);
                 self.push(self.now + PRESENCE_MS, Event::Presence(index));
             }
             Event::Call(index) => {
                 let name = format!("a{}", self.rng.random_range(0..self.plan.adapters));
                 self.counts.calls += 1;
                 self.try_call(index, name, self.now, None);
-                let mean = 1_000.0 / self.plan.calls_a_second;
+                let mean = 1_000.0 / self.plan.calls_per_second;
                 let pause = -mean * (1.0 - self.rng.random::<f64>()).ln();
                 self.push(self.now + 1 + pause as u64, Event::Call(index));
             }
-            Event::Retry(index, name, came, was_held) => {
-                self.try_call(index, name, came, Some(was_held));
+            Event::Retry(index, name, arrived, was_resident) => {
+                self.try_call(index, name, arrived, Some(was_resident));
             }
             Event::Ended(index, incarnation, adapter) => {
                 let pool = &mut self.routers[index].pool;
@@ -245,13 +245,13 @@
         }
     }
 
-    fn is_held(&self, name: &str) -> bool {
+    fn is_resident(&self, name: &str) -> bool {
         let mut loaders = self.loaders.iter();
         loaders.any(|loader| loader.engine.held(&adapter(name)).is_some())
     }
 
-    fn try_call(&mut self, index: usize, name: String, came: u64, was_held: Option<bool>) {
-        let was_held = was_held.unwrap_or_else(|| self.is_held(&name));
+    fn try_call(&mut self, index: usize, name: String, arrived: u64, was_resident: Option<bool>) {
+        let was_resident = was_resident.unwrap_or_else(|| self.is_resident(&name));
         let call = model_call(Some(&name));
         let (service, zone): (ServiceName, ZoneName) = (ENGINES.into(), zone_name(index));
         let now = ms(self.now);
@@ -263,14 +263,14 @@
             excluded: &[],
             routers: self.plan.routers,
             waiting_at: None,
-            may_ask: self.now < came + 200,
+            may_ask: self.now < arrived + 200,
         };
         let rng = &mut self.rng;
         match choose_target(&router.pool, &need, now, || rng.random()) {
             TargetChoice::Send(incarnation, _) => {
                 let id = adapter(&name);
                 router.pool.call_started(&incarnation, Some(&id), 0);
-                self.note_sent(&incarnation, &id, came, was_held);
+                self.note_sent(&incarnation, &id, arrived, was_resident);
                 self.notify(index, &incarnation);
                 self.push(self.now + RUN_MS, Event::Ended(index, incarnation, id));
             }
@@ -278,19 +278,19 @@
                 if router.pool.request_report(&incarnation, now) {
                     self.notify(index, &incarnation);
                 }
-                self.push(self.now + 4, Event::Retry(index, name, came, was_held));
+                self.push(self.now + 4, Event::Retry(index, name, arrived, was_resident));
             }
             TargetChoice::Load(incarnation, adapter, version) => {
                 router.pool.prefetch(&incarnation, &adapter, version, now);
                 self.notify(index, &incarnation);
-                // A load where the adapter is missing, although another engine has it, is no wait for
-                // an answer.
+                // If the adapter is loaded although another engine holds it, the wait is for the load
+                // and not for a report.
                 let engine = &self.loaders[engine_index(&incarnation.id)].engine;
-                let was_held = was_held && engine.held(&adapter).is_some();
-                self.push(self.now + WAIT_MS, Event::Retry(index, name, came, was_held));
+                let was_resident = was_resident && engine.held(&adapter).is_some();
+                self.push(self.now + WAIT_MS, Event::Retry(index, name, arrived, was_resident));
             }
             TargetChoice::AwaitBase | TargetChoice::Nowhere => {
-                self.push(self.now + WAIT_MS, Event::Retry(index, name, came, was_held));
+                self.push(self.now + WAIT_MS, Event::Retry(index, name, arrived, was_resident));
             }
         }
     }
@@ -299,8 +299,8 @@
         &mut self,
         incarnation: &TargetIncarnation,
         adapter: &AdapterId,
-        came: u64,
-        was_held: bool,
+        arrived: u64,
+        was_resident: bool,
     ) {
         self.counts.sent += 1;
         let since = self.now - self.killed_at;
@@ -309,12 +309,12 @@
         if engine.held(adapter).is_none() {
             self.counts.refused += 1;
         }
-        if was_held {
-            self.counts.longest_ask_ms = self.counts.longest_ask_ms.max(self.now - came);
+        if was_resident {
+            self.counts.max_report_wait_ms = self.counts.max_report_wait_ms.max(self.now - arrived);
         }
     }
 
-    fn look(&mut self, index: usize) {
+    fn check_notices(&mut self, index: usize) {
         let now = ms(self.now);
         let routers = self.plan.routers;
         let router = &mut self.routers[index];
@@ -335,21 +335,22 @@
         self.send_to_loader(index, loader, RouterMessage::Notice(notice));
     }
 
-    fn tell_presence(&mut self, index: usize) {
+    fn send_presence(&mut self, index: usize) {
         let zone = zone_name(index);
         let router = &mut self.routers[index];
-        let turn = router.presences;
+        let round = router.presences;
         router.presences += 1;
         let zones: Vec<ZoneName> = (0..ZONES).map(zone_name).filter(|z| *z != zone).collect();
-        let asked = router.peer_table.zones_to_ask(&zones, turn, ms(self.now));
-        let asked: Vec<usize> =
-            asked.into_iter().map(|other| self.registry(other)[turn % 2]).collect();
+        let queried = router.peer_table.zones_to_ask(&zones, round, ms(self.now));
+        let queried: Vec<usize> =
+            queried.into_iter().map(|other| self.registry(other)[round % 2]).collect();
         let mut own = self.registry(&zone);
-        if turn > 0 {
-            own = vec![own[turn % own.len()]];
+        if round > 0 {
+            own = vec![own[round % own.len()]];
         }
         let own = own.into_iter().map(|loader| (loader, true));
-        for (loader, registers_here) in own.chain(asked.into_iter().map(|loader| (loader, false))) {
+        for (loader, registers_here) in own.chain(queried.into_iter().map(|loader| (loader, false)))
+        {
             let (zone, address) = (zone.clone(), router_address(index));
             let presence =
                 RouterPresence { zone, address, registers_here, limit_updates: Vec::new() };
@@ -357,7 +358,7 @@
         }
     }
 
-    /// Loaders at which the routers of a zone meet.
+    /// Loaders at which the routers of a zone register.
     fn registry(&self, zone: &ZoneName) -> Vec<usize> {
         let engines: Vec<(InstanceId, ZoneName)> =
             (0..self.plan.engines).map(|index| (engine_name(index), zone_name(index))).collect();
@@ -448,7 +449,7 @@
         }
     }
 
-    /// When a datagram that is sent now arrives, if it does; later ones may overtake it.
+    /// Arrival time of a datagram that is sent now; `None` if it is lost. Later ones may arrive earlier.
     fn arrival(&mut self) -> Option<u64> {
         let is_lost = self.rng.random::<f64>() < self.plan.loss;
         (!is_lost).then(|| self.now + self.rng.random_range(1..4))
--- a/crates/core/tests/core/direct/membership.rs
+++ b/crates/core/tests/core/direct/membership.rs
@@ -1,4 +1,4 @@
-//! The list of targets through outages of its keeper.
+//! The list of targets during outages of the store.
 
 use super::support::{DESK, ms, target};
 use plantain_core::direct::membership::{LAPSE_GRACE, ListChange, TargetEntry, TargetList};
@@ -15,11 +15,11 @@
     ids
 }
 
-/// Callers see every call refused: the keeper of the list is out for some seconds, all entries lapse
-/// meanwhile, and the first list after it is empty although every target serves. The entries are held
-/// until targets have had time to come back.
+/// The store is out for some seconds, all entries lapse meanwhile, and the first list after it is empty although
+/// every target serves: all calls would be refused. The entries must be kept until targets have had time to
+/// register again.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_held() {
+fn entries_that_lapsed_in_an_outage_are_kept() {
     let mut list = TargetList::default();
     list.replace(entries(&[("d1", 1), ("d2", 2)]), ms(0));
     list.note_outage();
@@ -31,10 +31,10 @@
     assert_eq!(ids(&list), ["d1"], "what is missing after the hold is gone");
 }
 
-/// A target that was leaving before the outage is gone when its entry is: holding it would send work
-/// to a target that has exited.
+/// A target that was draining before the outage has exited when its entry is gone: keeping the entry would send
+/// calls to it.
 #[test]
-fn a_draining_target_is_not_held() {
+fn a_draining_target_is_not_kept() {
     let mut list = TargetList::default();
     let leaving = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 1) };
     list.replace(vec![Arc::new(leaving)], ms(0));
@@ -44,9 +44,9 @@
     assert!(list.is_empty());
 }
 
-/// Without an outage, some targets leave by their entry's removal alone; they must get no new work.
+/// Without an outage, some targets end by the removal of their entry alone; they must get no new calls.
 #[test]
-fn a_removed_entry_goes_at_once_in_calm() {
+fn a_removed_entry_is_dropped_at_once_without_an_outage() {
     let mut list = TargetList::default();
     list.replace(entries(&[("d1", 1), ("d2", 2)]), ms(0));
     list.apply(&ListChange::Removed("d1".into()), ms(100));
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -1,4 +1,4 @@
-//! Which loaders a router tells of its calls, and when.
+//! When a router sends notices to which loaders.
 
 use super::support::{adapter, ms, pool, report, target};
 use plantain_core::direct::{
@@ -19,7 +19,8 @@
     pool.take_report(host, report(id, sequence, &[]), ms(at));
 }
 
-/// Routers told every loader of themselves, calls or not: at 300 hosts that was more than callers sent.
+/// Guards against notices to every loader, with or without calls there: at 300 hosts that was more traffic
+/// than callers sent.
 #[test]
 fn only_loaders_of_engines_with_calls_get_notices() {
     let mut pool = pool();
@@ -34,8 +35,8 @@
     assert_eq!(due(&mut schedule, &pool, 800), [e1], "or the loader would forget the call");
 }
 
-/// The last call for an adapter ends. Until its loader hears so, the adapter keeps its place, and calls for
-/// others wait: it is told once more, and then no more.
+/// The last call for an adapter ends. Until its loader gets a notice, the adapter keeps its slot and calls for
+/// others wait: one more notice must be sent, and then none.
 #[test]
 fn a_loader_gets_a_notice_that_nothing_runs_any_more() {
     let mut pool = pool();
@@ -58,7 +59,8 @@
     assert!((400..3_000).step_by(50).all(|at| due(&mut schedule, &pool, at).is_empty()));
 }
 
-/// A question is lost. Its call waits, so it is sent again soon; but not for ever to a loader that is gone.
+/// A report request is lost. Its call waits, so it must be sent again soon, but not forever to a loader that is
+/// gone.
 #[test]
 fn a_report_request_is_repeated_until_the_loader_counts_as_silent() {
     let mut pool = pool();
@@ -85,10 +87,10 @@
     assert!(!pool.target(&e2).expect("a target").is_report_pending(ms(2_002)));
 }
 
-/// An engine has started empty and nobody has calls there yet. Its loader must hear what to load, from one
-/// router in all at each look rather than from every one.
+/// An engine has started empty and no router has calls there yet. Its loader must be sent the base models to
+/// load, in each round by one router on average instead of by all.
 #[test]
-fn empty_engines_are_told_what_to_load() {
+fn empty_engines_are_sent_base_models() {
     let mut pool = pool();
     let empty = TargetEntry { holdings: Vec::new(), ..target("e1", "engines", "a", 1) };
     pool.replace_list(vec![Arc::new(empty)], ms(0));
