--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -83,10 +83,10 @@
     /// Picks a service for a call; `draw` is uniform from 0 to 1.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.shares.iter().map(|share| share.weight).sum();
-        let mut rest = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for share in &self.shares {
-            rest -= f64::from(share.weight);
-            if rest < 0.0 {
+            remaining -= f64::from(share.weight);
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -277,7 +277,8 @@
         }
     }
 
-    /// Upper bound of the number of routers, given `counted` by loaders and the `started` time of this router.
+    /// Upper bound of the number of routers; `counted` is the number known from loaders, `started` the start of
+    /// this router.
     ///
     /// A router that no loader has sent others to need not be the only one. Other routers have reports in the
     /// store; until those are read, the bound is the largest fleet.
--- a/crates/core/src/direct/loader/load_limiter.rs
+++ b/crates/core/src/direct/loader/load_limiter.rs
@@ -18,7 +18,7 @@
 const CONGESTED_RATIO: f64 = 1.5;
 /// Factor on the window after a load that took too long.
 const BACKOFF: f64 = 0.8;
-/// Growth of the window after as many loads in good time as it holds.
+/// Growth of the window after as many uncongested loads as it holds.
 const GROWTH: f64 = 1.0;
 /// The same before any load took too long (slow start): one engine's loads alone never congest the store,
 /// and calls that wait while the window opens slowly are late.
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -11,8 +11,8 @@
 };
 use std::{cmp::Reverse, sync::Arc, time::Duration};
 
-/// Loads for calls in time after which a late call goes first. Otherwise late calls starve until their callers
-/// give up: in the ten seconds after a cold start, 4 % more of the calls were not served at all.
+/// Loads for calls in time after which a late call goes first. Without it late calls starve until their callers
+/// give up: of the calls in the ten seconds after a cold start, 4 more in 100 were not served at all.
 const TIMELY_LOADS: u8 = 3;
 
 impl LoaderMachine {
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -77,7 +77,7 @@
         let before = waiting.count() + self.store_loads();
         let window = self.load_limiter.window();
         // While the window is not full, a load begins at once.
-        let turns = (before + 1).saturating_sub(window) as f64 / window as f64;
-        self.load_limiter.expected().mul_f64(turns)
+        let rounds = (before + 1).saturating_sub(window) as f64 / window as f64;
+        self.load_limiter.expected().mul_f64(rounds)
     }
 }
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -31,8 +31,8 @@
 
 impl AnswerHead {
     /// Whether another target answered than the one that the call was sent to.
-    pub fn is_of_other(&self, asked: &TargetIncarnation) -> bool {
-        self.instance.as_ref().is_some_and(|instance| *instance != asked.id)
+    pub fn is_of_other(&self, expected: &TargetIncarnation) -> bool {
+        self.instance.as_ref().is_some_and(|instance| *instance != expected.id)
     }
 }
 
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -113,7 +113,7 @@
         order.upstream(self.own, |router| !self.avoided.contains_key(router))
     }
 
-    /// Applies an upstream's reply; returns whether the upstream is dropped for [`UPSTREAM_AVOID_TIME`].
+    /// Applies an upstream's reply; returns whether the upstream is dropped and avoided for a while.
     pub fn apply_reply(
         &mut self,
         upstream: SocketAddr,
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -180,8 +180,8 @@
 }
 
 /// Routers of a fleet that has just started must learn all numbers soon, and later not query all of them each
-/// second. After a lost answer a router must query that zone again in its next round, not only when it is the
-/// zone's turn.
+/// second. After a lost answer a router must query that zone again in its next round, not only when that zone
+/// comes next in rotation.
 #[test]
 fn zones_without_a_number_are_queried_each_round() {
     let mut there = PresenceRegistry::default();
--- a/crates/core/tests/core/direct/load_shedding.rs
+++ b/crates/core/tests/core/direct/load_shedding.rs
@@ -69,7 +69,7 @@
 #[test]
 fn shedding_keeps_other_calls_in_time() {
     let cases = [
-        LoadCase { name: "calm", rate: 100.0, sheds: true, in_time: 900..1_200, late: 0..5 },
+        LoadCase { name: "low load", rate: 100.0, sheds: true, in_time: 900..1_200, late: 0..5 },
         LoadCase {
             name: "twice the capacity, no shedding",
             rate: 400.0,
@@ -111,11 +111,11 @@
     for _ in 0..100 {
         gauge.record(2);
     }
-    assert!(!gauge.shows_queue(ROUTERS, slots), "8 of 24 places");
+    assert!(!gauge.shows_queue(ROUTERS, slots), "8 calls at 24 slots");
     for _ in 0..100 {
         gauge.record(8);
     }
-    assert!(gauge.shows_queue(ROUTERS, slots), "32 calls at 24 places");
+    assert!(gauge.shows_queue(ROUTERS, slots), "32 calls at 24 slots");
 }
 
 /// One answer in a hundred takes five times as long; that alone must not refuse any call.
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -216,7 +216,7 @@
     machine.take_report(report(9, &[("a", 1)]), ms(60));
     assert!(matches!(machine.next_step(ms(61)), LoaderStep::Wait(_)));
     machine.take_notice(router(1), notice(2, vec![request("z", 1)], vec![]), ms(70));
-    assert!(order_of(&machine.next_step(ms(71))).is_some(), "a new notice asks anew");
+    assert!(order_of(&machine.next_step(ms(71))).is_some(), "a new notice requests it again");
 }
 
 /// Rare adapters are loaded and evicted; one with lasting demand must stay even if its last call is older
--- a/crates/core/tests/core/direct/loader/incarnations.rs
+++ b/crates/core/tests/core/direct/loader/incarnations.rs
@@ -27,7 +27,7 @@
 /// An engine restarts under the same id, so its health check answers the same id as before. Only its start
 /// time, or an order count that fell, shows that the adapters loaded before are gone.
 #[test]
-fn an_engine_that_starts_again_under_its_id_is_taken_for_another_incarnation() {
+fn an_engine_that_restarts_under_its_id_is_another_incarnation() {
     for (started, order_count) in [(Some(900), 7), (Some(2_000), 9), (None, 0)] {
         let mut machine = machine(7, &[("a", 1)]);
         let first = EngineReport { started: Some(1_000), ..report(7, &[("a", 1)]) };
@@ -60,7 +60,7 @@
     machine.take_report(report(4, &[("d", 1), ("e", 1), ("f", 1)]), ms(4));
     let step = machine.next_step(ms(30));
     let verb = order_of(&step).map(|order| order.verb.clone());
-    assert_eq!(verb, Some(OrderVerb::UnloadAdapter(adapter("d"))), "the fourth place stays free");
+    assert_eq!(verb, Some(OrderVerb::UnloadAdapter(adapter("d"))), "the fourth slot stays free");
     machine.take_report(report(5, &[("d", 1), ("e", 1), ("f", 1)]), ms(31));
     let step = machine.next_step(ms(32));
     let verb = order_of(&step).map(|order| order.verb.clone());
--- a/crates/core/tests/core/direct/loader/turns.rs
+++ b/crates/core/tests/core/direct/loader/turns.rs
@@ -65,7 +65,7 @@
     let step = machine.next_step(ms(1));
     machine.take_answer(order_of(&step).expect("a load"), OrderAnswer::Accepted, ms(2));
     machine.take_report(loading(8, &[("a", 1)], &["x"]), ms(20));
-    assert!(order_of(&machine.next_step(ms(21))).is_none(), "one is on its way");
+    assert!(order_of(&machine.next_step(ms(21))).is_none(), "one is loading");
     let waits = machine.make_report(ms(21)).expect("a report");
     assert!(waits.queue_ms >= waits.load_ms, "the next one waits for it");
     machine.take_report(report(8, &[("a", 1), ("x", 1)]), ms(250));
@@ -77,7 +77,7 @@
 /// A new version replaces an adapter whose runs last for seconds, and counts as loading all that time. If it
 /// were recorded as a slow load, the window would shrink for calls that wait for other adapters.
 #[test]
-fn a_replacement_that_waits_for_runs_holds_up_no_load() {
+fn a_replacement_that_waits_for_runs_delays_no_load() {
     let mut machine = machine(7, &[("a", 1)]);
     let newer = LoadRequest { version: 2, ..request("a", 1) };
     machine.take_notice(router(1), notice(1, vec![newer], vec![running("a", 3)]), ms(0));
@@ -114,5 +114,5 @@
     machine.take_notice(router(1), notice(3, vec![request("a", 1)], vec![]), ms(213));
     let step = machine.next_step(ms(214));
     let verb = order_of(&step).map(|order| order.verb.clone());
-    assert!(matches!(verb, Some(OrderVerb::UnloadAdapter(_))), "a place for it: {verb:?}");
+    assert!(matches!(verb, Some(OrderVerb::UnloadAdapter(_))), "a slot for it: {verb:?}");
 }
--- a/crates/core/tests/core/direct/membership.rs
+++ b/crates/core/tests/core/direct/membership.rs
@@ -28,7 +28,7 @@
     assert_eq!(ids(&list), ["d1", "d2"]);
     list.apply(&ListChange::Put(Arc::new(target("d1", DESK, "a", 1))), ms(6_000));
     list.expire(ms(5_000) + LAPSE_GRACE);
-    assert_eq!(ids(&list), ["d1"], "what is missing after the hold is gone");
+    assert_eq!(ids(&list), ["d1"], "missing entries are dropped after the grace period");
 }
 
 /// A target that was draining before the outage has exited when its entry is gone: keeping the entry would send
@@ -36,8 +36,8 @@
 #[test]
 fn a_draining_target_is_not_kept() {
     let mut list = TargetList::default();
-    let leaving = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 1) };
-    list.replace(vec![Arc::new(leaving)], ms(0));
+    let draining = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 1) };
+    list.replace(vec![Arc::new(draining)], ms(0));
     list.note_outage();
     list.note_contact(ms(4_000));
     list.replace(Vec::new(), ms(4_010));
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -25,14 +25,14 @@
 fn only_loaders_of_engines_with_calls_get_notices() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
-    assert!(due(&mut schedule, &pool, 0).is_empty(), "nothing runs or is wanted");
+    assert!(due(&mut schedule, &pool, 0).is_empty(), "no calls and no load requests");
     let e1: TargetIncarnation = "e1".into();
     pool.call_started(&e1, Some(&adapter("h7")), 0);
     assert_eq!(due(&mut schedule, &pool, 0), vec![e1.clone()]);
     let notice = schedule.make(&mut pool, &e1, ms(0)).expect("a notice");
     assert_eq!((notice.uses.len(), notice.wants_report), (1, false));
-    assert!(due(&mut schedule, &pool, 500).is_empty(), "told, and nothing changed");
-    assert_eq!(due(&mut schedule, &pool, 800), [e1], "or the loader would forget the call");
+    assert!(due(&mut schedule, &pool, 500).is_empty(), "sent, and nothing changed");
+    assert_eq!(due(&mut schedule, &pool, 800), [e1], "or the loader would drop the call");
 }
 
 /// The last call for an adapter ends. Until its loader gets a notice, the adapter keeps its slot and calls for
@@ -51,10 +51,10 @@
     assert!(pool.use_ended(&e1, &adapter("h7")), "the last one");
     assert_eq!(due(&mut schedule, &pool, 200), vec![e1.clone()]);
     let notice = schedule.make(&mut pool, &e1, ms(200)).expect("a notice");
-    assert!(notice.uses.iter().all(|told| told.running == 0));
+    assert!(notice.uses.iter().all(|used| used.running == 0));
     let ends = (300..3_000).step_by(50).filter(|at| !due(&mut schedule, &pool, *at).is_empty());
     let ends: Vec<u64> = ends.collect();
-    assert_eq!(ends.first(), Some(&300), "told once more that there is nothing at all");
+    assert_eq!(ends.first(), Some(&300), "one more notice, without any uses");
     schedule.make(&mut pool, &e1, ms(300));
     assert!((400..3_000).step_by(50).all(|at| due(&mut schedule, &pool, at).is_empty()));
 }
@@ -67,7 +67,7 @@
     let mut schedule = NoticeSchedule::new(1);
     let e2: TargetIncarnation = "e2".into();
     assert!(pool.request_report(&e2, ms(0)), "new");
-    assert!(!pool.request_report(&e2, ms(10)), "asked already");
+    assert!(!pool.request_report(&e2, ms(10)), "requested already");
     let sent: Vec<u64> = (0..1_000)
         .step_by(10)
         .filter(|at| {
@@ -82,7 +82,7 @@
     assert_eq!(sent, [0, 50, 100]);
     assert!(pool.note_silence(&e2, ms(160)), "to be logged");
     assert!(!pool.note_silence(&e2, ms(170)), "once");
-    assert!(pool.request_report(&e2, ms(2_000)), "asked again after two seconds");
+    assert!(pool.request_report(&e2, ms(2_000)), "requested again after two seconds");
     take_report(&mut pool, "e2", 1, 2_001);
     assert!(!pool.target(&e2).expect("a target").is_report_pending(ms(2_002)));
 }
@@ -104,6 +104,6 @@
     assert!(schedule.due(&pool, 1, ms(300), || 0.0).is_empty(), "it holds its base model now");
     assert!(
         schedule.make(&mut pool, &e1, ms(400)).expect("a notice").bases.is_empty(),
-        "told once"
+        "sent once"
     );
 }
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -110,16 +110,16 @@
     let first = loads_at(&pool);
     let short = LoaderReport { free_slots: 0, ..report(&first.id, 2, &[]) };
     take_report(&mut pool, short, ms(1));
-    assert_eq!(loads_at(&pool), first, "a place comes free soon");
-    let crowded = LoaderReport { free_slots: -3, ..report(&first.id, 3, &[]) };
-    take_report(&mut pool, crowded, ms(2));
+    assert_eq!(loads_at(&pool), first, "a slot becomes free soon");
+    let saturated = LoaderReport { free_slots: -3, ..report(&first.id, 3, &[]) };
+    take_report(&mut pool, saturated, ms(2));
     assert_ne!(loads_at(&pool), first);
 }
 
 /// The preferred engine's loader has ended, so a load there would never be ordered and the call would wait
 /// until its deadline. The engine is skipped once its loader leaves a report request unanswered.
 #[test]
-fn an_engine_with_a_silent_loader_is_not_asked_to_load() {
+fn an_engine_with_a_silent_loader_gets_no_load_request() {
     let mut pool = pool();
     let call = model_call(Some("h7"));
     let loads_at = |pool: &TargetPool, at| match choose(pool, ENGINES, Some(&call), at) {
@@ -131,7 +131,7 @@
     }
     let first = loads_at(&pool, 10);
     pool.request_report(&first, ms(3_000));
-    assert_eq!(loads_at(&pool, 3_010), first, "an answer may be on its way");
+    assert_eq!(loads_at(&pool, 3_010), first, "an answer may be in transit");
     assert_ne!(loads_at(&pool, 3_160), first);
     take_report(&mut pool, report(&first.id, 2, &[]), ms(3_200));
     assert_eq!(loads_at(&pool, 3_210), first, "it has answered after all");
@@ -155,10 +155,14 @@
     let choice = choose_target(&pool, &need, ms(20), || 0.5);
     assert_eq!(choice, TargetChoice::Load(first.clone(), adapter("h7"), 1));
     assert_ne!(choose(&pool, ENGINES, Some(&call), 20), choice, "a new call goes elsewhere");
-    let crowded = LoaderReport { free_slots: -5, queue_ms: 900, ..report(&first.id, 2, &[]) };
-    take_report(&mut pool, crowded, ms(20));
+    let saturated = LoaderReport { free_slots: -5, queue_ms: 900, ..report(&first.id, 2, &[]) };
+    take_report(&mut pool, saturated, ms(20));
     let choice = choose_target(&pool, &need, ms(20), || 0.5);
-    assert_eq!(choice, TargetChoice::Load(first, adapter("h7"), 1), "it has its turn for a place");
+    assert_eq!(
+        choice,
+        TargetChoice::Load(first, adapter("h7"), 1),
+        "it is in the queue for a slot"
+    );
 }
 
 /// An engine crashed and restarted at its address, and the list still shows the earlier incarnation. The
@@ -185,7 +189,7 @@
 /// must not apply to the new one: it would look busy and failing forever, and seem to hold adapters that it
 /// no longer has.
 #[test]
-fn an_incarnation_under_the_same_id_begins_anew() {
+fn an_incarnation_under_the_same_id_has_no_earlier_state() {
     let mut pool = pool();
     let (first, second) = (incarnation("e2", 9_000), incarnation("e2", 4_000));
     pool.replace_list(vec![listed_incarnation("e2", 9_000)], ms(0));
@@ -195,12 +199,12 @@
     pool.record_outcome(&first, CallOutcome::Failed, ms(20));
     pool.apply_changes(&[ListChange::Put(listed_incarnation("e2", 4_000))], ms(30));
     assert!(pool.target(&first).is_none());
-    let target = pool.target(&second).expect("the later life");
+    let target = pool.target(&second).expect("the later incarnation");
     assert_eq!((target.in_flight, target.prefill_tokens), (0, 0));
     assert!(target.health.failure_share(ms(30)) < 0.001 && target.loader.is_none());
     pool.call_started(&second, None, 100);
     pool.call_ended(&first, 600);
-    let target = pool.target(&second).expect("the later life");
+    let target = pool.target(&second).expect("the later incarnation");
     assert_eq!((target.in_flight, target.prefill_tokens), (1, 100), "its own call still runs");
 }
 
@@ -287,7 +291,7 @@
         }
         pool.record_concurrency(&service);
     }
-    assert!(queued_plain_ms(&pool, &need, ms(800)) > 100.0, "20 calls at 16 places");
+    assert!(queued_plain_ms(&pool, &need, ms(800)) > 100.0, "20 calls at 16 slots");
 }
 
 /// A target answers that it is another incarnation than the one addressed.
@@ -300,7 +304,7 @@
 
 struct UnusableCase {
     name: &'static str,
-    spoil: fn(&mut TargetPool),
+    make_unusable: fn(&mut TargetPool),
 }
 
 #[test]
@@ -308,33 +312,33 @@
     let cases = [
         UnusableCase {
             name: "draining by the list",
-            spoil: |pool| {
+            make_unusable: |pool| {
                 let entry = TargetEntry { is_draining: true, ..target("d1", DESK, "a", 4) };
                 pool.apply_changes(&[ListChange::Put(Arc::new(entry))], ms(0));
             },
         },
         UnusableCase {
             name: "gone from the list",
-            spoil: |pool| pool.apply_changes(&[ListChange::Removed("d1".into())], ms(0)),
+            make_unusable: |pool| pool.apply_changes(&[ListChange::Removed("d1".into())], ms(0)),
         },
         UnusableCase {
             name: "draining by its loader",
-            spoil: |pool| {
-                let leaving = LoaderReport { is_draining: true, ..report("d1", 1, &[]) };
-                take_report(pool, leaving, ms(0));
+            make_unusable: |pool| {
+                let draining = LoaderReport { is_draining: true, ..report("d1", 1, &[]) };
+                take_report(pool, draining, ms(0));
             },
         },
         UnusableCase {
             name: "unresponsive by its loader",
-            spoil: |pool| {
-                let dark = LoaderReport { is_answering: false, ..report("d1", 1, &[]) };
-                take_report(pool, dark, ms(0));
+            make_unusable: |pool| {
+                let unresponsive = LoaderReport { is_answering: false, ..report("d1", 1, &[]) };
+                take_report(pool, unresponsive, ms(0));
             },
         },
     ];
     for case in cases {
         let mut pool = pool();
-        (case.spoil)(&mut pool);
+        (case.make_unusable)(&mut pool);
         assert_eq!(sent_to(&choose(&pool, DESK, None, 10)), Some("d2"), "{}", case.name);
         let alone = choose_without(&pool, DESK, None, 10, &["d2".into()]);
         assert_eq!(alone, TargetChoice::Nowhere, "{}", case.name);
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -22,8 +22,8 @@
 }
 
 /// Loads from the weight store take three times as long while it is overloaded, and a load at an engine that
-/// is not preferred transfers an adapter twice. The longer loads take, the longer must the expected wait at
-/// the preferred engine be before a call goes to another one.
+/// is not preferred transfers an adapter twice. So the longer loads take, the longer a
+/// call must wait at its preferred engine rather than go to another one.
 #[test]
 fn strays_cost_more_while_loads_are_slow() {
     struct StrayCase {
@@ -44,8 +44,8 @@
         let call = model_call(Some("h7"));
         for sequence in 1..100 {
             for id in ["e1", "e2", "e3"] {
-                let told = LoaderReport { load_ms: case.load_ms, ..report(id, sequence, &[]) };
-                take_report(&mut pool, told, ms(0));
+                let update = LoaderReport { load_ms: case.load_ms, ..report(id, sequence, &[]) };
+                take_report(&mut pool, update, ms(0));
             }
         }
         let first = loaded_at(&pool, &call);
@@ -91,11 +91,15 @@
     assert_eq!(
         choose(&pool, &CallNeed { may_ask: false, ..ask.clone() }, 400),
         send,
-        "asked enough"
+        "no more requests"
     );
     pool.request_report(&"e2".into(), ms(400));
-    assert_eq!(choose(&pool, &ask, 540), TargetChoice::Ask("e2".into()), "an answer may come");
-    assert_eq!(choose(&pool, &ask, 560), send, "silent: no question would tell more");
+    assert_eq!(
+        choose(&pool, &ask, 540),
+        TargetChoice::Ask("e2".into()),
+        "an answer may be in transit"
+    );
+    assert_eq!(choose(&pool, &ask, 560), send, "silent: another request would not help");
     take_report(&mut pool, report("e2", 2, &[("h7", 1)]), ms(700));
     pool.call_started(&"e2".into(), Some(&adapter("h7")), 0);
     assert_eq!(choose(&pool, &ask, 1_700), send, "in use by a call of this router");
@@ -150,7 +154,13 @@
     }
     let cases = [
         FullCase { name: "short", tokens_in: 600, kv_used: 99_900, active: 8, stays: true },
-        FullCase { name: "room", tokens_in: 30_000, kv_used: 9_000, active: 7, stays: true },
+        FullCase {
+            name: "free slot and memory",
+            tokens_in: 30_000,
+            kv_used: 9_000,
+            active: 7,
+            stays: true,
+        },
         FullCase { name: "memory", tokens_in: 30_000, kv_used: 99_900, active: 1, stays: false },
         FullCase { name: "batch", tokens_in: 30_000, kv_used: 9_000, active: 8, stays: false },
     ];
--- a/crates/core/tests/core/direct/selection/limits.rs
+++ b/crates/core/tests/core/direct/selection/limits.rs
@@ -37,12 +37,12 @@
     let mut pool = engines_with(&["h7"]);
     saturate(&mut pool, "d1", 500);
     assert_eq!(sent_to(&choose(&pool, DESK, None, 10)), Some("d2"));
-    assert_eq!(sent_to(&choose(&pool, DESK, None, 600)), Some("d1"), "it has room again");
+    assert_eq!(sent_to(&choose(&pool, DESK, None, 600)), Some("d1"), "it admits calls again");
     saturate(&mut pool, "d2", 700);
     assert_eq!(choose(&pool, DESK, None, 10), TargetChoice::Nowhere);
     assert_eq!(pool.limit_retry_after(DESK, ms(10)), Some(ms(490)));
     assert_eq!(pool.limit_retry_after(DESK, ms(800)), None);
-    // Engines that have their base model are not waited for.
+    // A call does not wait for saturated engines that hold the base model.
     let call = model_call(Some("h7"));
     for id in ALL_ENGINES {
         saturate(&mut pool, id, 500);
@@ -75,12 +75,12 @@
     let entries: Vec<_> = pool.entries().cloned().collect();
     advertise_limit(&mut pool, "d1", 3.9);
     pool.replace_list(entries[..3].to_vec(), ms(10));
-    let told = pool.limit_updates(ms(20));
-    assert_eq!(told.len(), 1, "others are told meanwhile");
+    let updates = pool.limit_updates(ms(20));
+    assert_eq!(updates.len(), 1, "its limit is still sent to others");
     pool.replace_list(entries.clone(), ms(30));
     assert!(pool.target(&"d1".into()).expect("a target").is_limited());
     pool.replace_list(entries[..3].to_vec(), ms(40));
-    let end = LimitUpdate { rate: None, age_ms: 0, ..told[0].clone() };
+    let end = LimitUpdate { rate: None, age_ms: 0, ..updates[0].clone() };
     pool.apply_limit_updates(&[end], ms(50));
     pool.replace_list(entries, ms(60));
     assert!(!pool.target(&"d1".into()).expect("a target").is_limited(), "it ended meanwhile");
@@ -93,23 +93,23 @@
     let mut pool = engines_with(&[]);
     let call = model_call(Some("h7"));
     let (service, zone) = (ENGINES.into(), "b".into());
-    let homes = |pool: &TargetPool, at| {
+    let preferred = |pool: &TargetPool, at| {
         preferred_targets(pool, &need(&service, &zone, Some(&call)), &adapter("h7"), ms(at))
     };
-    let usual = homes(&pool, 10);
+    let usual = preferred(&pool, 10);
     advertise_limit(&mut pool, &usual[0].id, 500.0);
-    assert_eq!(homes(&pool, 10), usual, "its limit has room");
+    assert_eq!(preferred(&pool, 10), usual, "its limit is not reached");
     pool.record_saturation(&usual[0], ms(100));
-    assert!(!homes(&pool, 200).contains(&usual[0]));
+    assert!(!preferred(&pool, 200).contains(&usual[0]));
     let choice = choose(&pool, ENGINES, Some(&call), 200);
     assert!(
         matches!(&choice, TargetChoice::Load(incarnation, ..) if *incarnation != usual[0]),
         "{choice:?}"
     );
-    assert_eq!(homes(&pool, 60_000), usual, "no call was turned away for long");
+    assert_eq!(preferred(&pool, 60_000), usual, "it has not been saturated for a while");
     for id in ALL_ENGINES {
         pool.record_saturation(&id.into(), ms(100));
         pool.record_limit(&id.into(), AdvertisedLimit::Limited(3.9), ms(1), ms(3));
     }
-    assert_eq!(homes(&pool, 200), usual, "there is no better place");
+    assert_eq!(preferred(&pool, 200), usual, "all are saturated");
 }
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -29,7 +29,7 @@
     /// A router loses the store, or stops watching.
     Lose { log: usize },
     /// The router under test queries another one.
-    Ask { log: usize },
+    Query { log: usize },
     /// The router under test reads the store.
     Follow,
 }
@@ -43,7 +43,7 @@
             }
             5..=8 => Self::Read { log },
             9 => Self::Lose { log },
-            10..=14 => Self::Ask { log },
+            10..=14 => Self::Query { log },
             _ => Self::Follow,
         }
     }
@@ -118,7 +118,7 @@
                     logs[log].0.stop();
                     logs[log].1 = store.revision();
                 }
-                ShareStep::Ask { log } => {
+                ShareStep::Query { log } => {
                     let Some(delta) = logs[log].0.since(revision) else { continue };
                     apply(&mut list, &delta.changes);
                     if delta.revision < revision || list != store.list_at(delta.revision) {
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy)]
 struct PendingQuery {
     upstream: usize,
-    asked: u64,
+    sent: u64,
 }
 
 struct Router {
@@ -116,7 +116,7 @@
 
 fn entry(index: usize, round: u64) -> TargetEntry {
     let entry = target(&format!("engine-{index:04}"), ENGINES, "a", 1);
-    let adapters = (0..ADAPTERS).map(|place| (format!("a{}", round * 7 + place as u64).into(), 1));
+    let adapters = (0..ADAPTERS).map(|slot| (format!("a{}", round * 7 + slot as u64).into(), 1));
     let holding = BaseHolding { base: "m0".into(), version: 1, adapters: adapters.collect() };
     TargetEntry { holdings: vec![holding], generation: index as u64, ..entry }
 }
@@ -235,8 +235,7 @@
             Some(pending) => self.advance_query(index, pending),
             None if self.now >= router.next_query => {
                 let upstream = router.machine.upstream(&router.view.same_zone).map(router_index);
-                router.pending =
-                    upstream.map(|upstream| PendingQuery { upstream, asked: self.now });
+                router.pending = upstream.map(|upstream| PendingQuery { upstream, sent: self.now });
             }
             None => {}
         }
@@ -277,7 +276,7 @@
     }
 
     fn advance_query(&mut self, index: usize, pending: PendingQuery) {
-        let waited = self.now - pending.asked;
+        let waited = self.now - pending.sent;
         let known = self.routers[index].revision.unwrap_or(0);
         let upstream = &self.routers[pending.upstream];
         let is_frozen = upstream.fault == RouterFault::Frozen;
