--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -56,7 +56,7 @@
 /// The pause is at least this long for each router of a higher rank.
 const POSITION_PAUSE: Duration = Duration::from_millis(250);
 
-/// Routers of the largest supported fleet.
+/// Number of routers in the largest expected fleet.
 const LARGEST_FLEET: usize = 1_024;
 /// Time from a router's start until it has read the reports of routers that started with it.
 const DISCOVERY_TIME: Duration = Duration::from_secs(3);
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -39,8 +39,8 @@
 /// Age after which a router's notice is dropped; routers send one at least every second.
 const NOTICE_TTL: Duration = Duration::from_millis(2_500);
 /// Time for which a load request must have waited before an adapter in use is evicted for it. The unload
-/// waits for the runs of the adapter, and all other loads of the engine wait for the unload: at 0.4 s, an
-/// engine whose runs had become slow loaded nothing most of the time.
+/// waits for the runs of the adapter, and all other loads of the engine wait for the unload, so this is a last
+/// resort: at 0.4 s, an engine whose runs had become slow loaded nothing most of the time.
 const EVICTION_PATIENCE: Duration = Duration::from_millis(1_500);
 /// Half-life of the demand that decides which adapters are kept. An engine has about 14 slots and loads a
 /// dozen rare adapters a second: under LRU, even adapters used twice a second would be evicted before their
@@ -54,9 +54,9 @@
 /// Demand below which an adapter is dropped when there are too many.
 const DEMAND_FLOOR: f64 = 0.1;
 /// Time of a load from host memory as a share of one from the weight store, as the engines specify.
-const HOST_MEMORY_SHARE: f64 = 0.1;
+const HOST_MEMORY_LOAD_SHARE: f64 = 0.1;
 /// Share of the time of a load from the weight store above which a load did not come from host memory.
-const STORE_SHARE: f64 = 0.5;
+const STORE_LOAD_SHARE: f64 = 0.5;
 /// Interval of polling the engine's report during a load: one from host memory takes 25 ms, and calls wait
 /// for it.
 const FAST_POLL: Duration = Duration::from_millis(12);
@@ -307,7 +307,7 @@
             let time = now.saturating_sub(start.at);
             if !start.from_host_memory {
                 self.load_limiter.record(time);
-            } else if time > self.load_limiter.expected().mul_f64(STORE_SHARE) {
+            } else if time > self.load_limiter.expected().mul_f64(STORE_LOAD_SHARE) {
                 self.memory.forget_older(&id);
             }
             self.memory.note(id, now);
@@ -317,7 +317,7 @@
     /// How long a load that begins now is expected to take.
     fn expected_load(&self, id: &AdapterId) -> Duration {
         let time = self.load_limiter.expected();
-        if self.memory.holds(id) { time.mul_f64(HOST_MEMORY_SHARE) } else { time }
+        if self.memory.holds(id) { time.mul_f64(HOST_MEMORY_LOAD_SHARE) } else { time }
     }
 
     fn note_met(&mut self, report: &EngineReport) {
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -46,7 +46,7 @@
 const PLAIN_CALL_MS: f64 = 15.0;
 /// Range of the random part that spreads calls over targets of nearly equal cost.
 const TIE_MS: f64 = 4.0;
-/// Calls per second for each copy of an adapter.
+/// Calls per second that one copy of an adapter serves before another copy is added.
 const CALLS_PER_COPY: f64 = 10.0;
 
 /// The call that needs a target, and what limits the choice.
