--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -1,4 +1,4 @@
-//! Which loaders a router tells of its calls, and when.
+//! When a router sends notices to which loaders.
 
 use super::support::{adapter, ms, pool, report, target};
 use plantain_core::direct::{
@@ -19,23 +19,24 @@
     pool.take_report(host, report(id, sequence, &[]), ms(at));
 }
 
-/// Routers told every loader of themselves, calls or not: at 300 hosts that was more than callers sent.
+/// Guards against notices to every loader, with or without calls there: at 300 hosts that was more traffic
+/// than callers sent.
 #[test]
 fn only_loaders_of_engines_with_calls_get_notices() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
-    assert!(due(&mut schedule, &pool, 0).is_empty(), "nothing runs or is wanted");
+    assert!(due(&mut schedule, &pool, 0).is_empty(), "no calls and no load requests");
     let e1: TargetIncarnation = "e1".into();
     pool.call_started(&e1, Some(&adapter("h7")), 0);
     assert_eq!(due(&mut schedule, &pool, 0), vec![e1.clone()]);
     let notice = schedule.make(&mut pool, &e1, ms(0)).expect("a notice");
     assert_eq!((notice.uses.len(), notice.wants_report), (1, false));
-    assert!(due(&mut schedule, &pool, 500).is_empty(), "told, and nothing changed");
-    assert_eq!(due(&mut schedule, &pool, 800), [e1], "or the loader would forget the call");
+    assert!(due(&mut schedule, &pool, 500).is_empty(), "sent, and nothing changed");
+    assert_eq!(due(&mut schedule, &pool, 800), [e1], "or the loader would drop the call");
 }
 
-/// The last call for an adapter ends. Until its loader hears so, the adapter keeps its place, and calls for
-/// others wait: it is told once more, and then no more.
+/// The last call for an adapter ends. Until its loader gets a notice, the adapter keeps its slot and calls for
+/// others wait: one more notice must be sent, and then none.
 #[test]
 fn a_loader_gets_a_notice_that_nothing_runs_any_more() {
     let mut pool = pool();
@@ -50,22 +51,23 @@
     assert!(pool.use_ended(&e1, &adapter("h7")), "the last one");
     assert_eq!(due(&mut schedule, &pool, 200), vec![e1.clone()]);
     let notice = schedule.make(&mut pool, &e1, ms(200)).expect("a notice");
-    assert!(notice.uses.iter().all(|told| told.running == 0));
+    assert!(notice.uses.iter().all(|used| used.running == 0));
     let ends = (300..3_000).step_by(50).filter(|at| !due(&mut schedule, &pool, *at).is_empty());
     let ends: Vec<u64> = ends.collect();
-    assert_eq!(ends.first(), Some(&300), "told once more that there is nothing at all");
+    assert_eq!(ends.first(), Some(&300), "one more notice, without any uses");
     schedule.make(&mut pool, &e1, ms(300));
     assert!((400..3_000).step_by(50).all(|at| due(&mut schedule, &pool, at).is_empty()));
 }
 
-/// A question is lost. Its call waits, so it is sent again soon; but not for ever to a loader that is gone.
+/// A report request is lost. Its call waits, so it must be sent again soon, but not forever to a loader that is
+/// gone.
 #[test]
 fn a_report_request_is_repeated_until_the_loader_counts_as_silent() {
     let mut pool = pool();
     let mut schedule = NoticeSchedule::new(1);
     let e2: TargetIncarnation = "e2".into();
     assert!(pool.request_report(&e2, ms(0)), "new");
-    assert!(!pool.request_report(&e2, ms(10)), "asked already");
+    assert!(!pool.request_report(&e2, ms(10)), "requested already");
     let sent: Vec<u64> = (0..1_000)
         .step_by(10)
         .filter(|at| {
@@ -80,15 +82,15 @@
     assert_eq!(sent, [0, 50, 100]);
     assert!(pool.note_silence(&e2, ms(160)), "to be logged");
     assert!(!pool.note_silence(&e2, ms(170)), "once");
-    assert!(pool.request_report(&e2, ms(2_000)), "asked again after two seconds");
+    assert!(pool.request_report(&e2, ms(2_000)), "requested again after two seconds");
     take_report(&mut pool, "e2", 1, 2_001);
     assert!(!pool.target(&e2).expect("a target").is_report_pending(ms(2_002)));
 }
 
-/// An engine has started empty and nobody has calls there yet. Its loader must hear what to load, from one
-/// router in all at each look rather than from every one.
+/// An engine has started empty and no router has calls there yet. Its loader must be sent the base models to
+/// load, in each round by one router on average instead of by all.
 #[test]
-fn empty_engines_are_told_what_to_load() {
+fn empty_engines_are_sent_base_models() {
     let mut pool = pool();
     let empty = TargetEntry { holdings: Vec::new(), ..target("e1", "engines", "a", 1) };
     pool.replace_list(vec![Arc::new(empty)], ms(0));
@@ -102,6 +104,6 @@
     assert!(schedule.due(&pool, 1, ms(300), || 0.0).is_empty(), "it holds its base model now");
     assert!(
         schedule.make(&mut pool, &e1, ms(400)).expect("a notice").bases.is_empty(),
-        "told once"
+        "sent once"
     );
 }
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -275,7 +275,7 @@
 impl RouterCountLog {
     /// Writes a line if the number has changed, at most once a second.
     fn log(&mut self, context: &RouterContext, now: Timestamp) {
-        let count = context.routers_mut().named();
+        let count = context.routers_mut().report_count();
         if count != self.logged && now.saturating_sub(self.logged_at) >= Duration::from_secs(1) {
             info!(context.logger, "routers known by their reports"; "step" => "routers",
                 "routers" => count);
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -191,7 +191,7 @@
     /// Known number of routers, and the number that there may be.
     pub(crate) fn fleet_size(&self, now: Timestamp) -> FleetSize {
         let known = self.router_count();
-        FleetSize::new(known, self.routers.borrow().presumed(known, self.started, now))
+        FleetSize::new(known, self.routers.borrow().max_routers(known, self.started, now))
     }
 
     /// Table of the other routers, for changes.
