--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent role: the only process that sends its one target anything.
+//! The agent role: proxies all requests and orders to one target. No other process calls that target.
 
 mod crashes;
 pub mod decisions;
@@ -27,10 +27,10 @@
     time::timeout,
 };
 
-/// Time in which the last answers reach their entries after all work has ended.
+/// Longest wait, after all work has ended, until the last answers have reached their entries.
 const FLUSH_TIME: Duration = Duration::from_secs(5);
 
-/// Runs an agent until it is told to stop and all accepted work has ended.
+/// Runs an agent until a stop signal arrives and all accepted work has ended.
 pub fn run(settings: AgentSettings) -> Result<()> {
     let (logger, _flush) = logging::start(&settings.common, "agent");
     let metrics = telemetry::install()?;
@@ -49,8 +49,8 @@
 
         let (own, ring, log) = (settings.clone(), commands.clone(), logger.clone());
         let taken = epoch.clone();
-        // The target's answers go straight to the peers' streams, so both share a thread. See
-        // docs/design/threads.md.
+        // Targets and streams share this thread, because answers pass straight from one to the other.
+        // See docs/design/threads.md.
         spawn_local(targets::run(own, job_ring, ring, taken, log));
         let (own, ring, log) = (settings.clone(), commands.clone(), logger.clone());
         let stop = stopping.clone();
@@ -65,7 +65,7 @@
             telemetry::run(admin, metrics, source, ended).await;
         })?;
         let (own, log, taken) = (settings.clone(), logger.clone(), epoch.clone());
-        let rings = decisions::DecisionRings { commands: command_ring, jobs, permits };
+        let rings = decisions::DecisionChannels { commands: command_ring, jobs, permits };
         duty::start("decisions", move || decisions::run(own, rings, taken, log))?;
 
         info!(logger, "agent listens"; "step" => "start", "listen" => %settings.listen,
--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -1,7 +1,7 @@
-//! Which requests were at the agent's target when it ended, and the word of it to all entries.
+//! Records which requests ran at the agent's target when it crashed, and reports them to all entries.
 //!
-//! The agent is the only one that sends its target anything, so that it alone sees what ends it. It writes
-//! that into an object of its own on the platform, which all entries follow.
+//! Only the agent calls its target, so only the agent can see which requests a crash ended. It writes them
+//! to its own object on the platform, which all entries watch.
 
 use crate::watch::{note_failure, platform_backoff};
 use plantain_core::{
@@ -27,61 +27,61 @@
     time::{sleep, timeout},
 };
 
-/// Pause between looks whether the target still takes connections, after a run that broke off.
+/// Pause before each connection attempt that probes the target after a run broke off.
 const PROBE_PAUSE: Duration = Duration::from_millis(50);
-/// Times that is looked: a target that was left by its caller may end a little later.
+/// Connection attempts per probe: a target may end some time after a run broke off or was cancelled.
 const PROBE_COUNT: u32 = 10;
-/// Longest wait for a connection to the target, which stands on the same host.
-const PROBE_LIMIT: Duration = Duration::from_millis(350);
-/// Pause after a write to the platform, in which further crashes gather.
-const GATHER_PAUSE: Duration = Duration::from_millis(200);
-/// Pause between looks whether crashes have become too old to count.
-const AGING_PAUSE: Duration = Duration::from_secs(10);
+/// Longest wait for a connection to the target, which runs on the same host.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(350);
+/// Pause after a write to the platform; crashes in this time share the next write.
+const COALESCE_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between checks for crashes that are too old to count.
+const EXPIRY_PAUSE: Duration = Duration::from_secs(10);
 
-/// What the agent has seen of its target's ends.
-pub(super) struct CrashWitness {
+/// Crashes of the agent's target, and the requests that were running at each.
+pub(super) struct CrashRecorder {
     target: SocketAddr,
     logger: Logger,
-    began: Instant,
+    started: Instant,
     ledger: RefCell<CrashLedger>,
     runs: RefCell<UnresolvedRuns>,
-    /// Ends of the target so far; each is another life.
+    /// Crashes of the target so far; each starts another incarnation.
     ends: Cell<u64>,
     is_probing: Cell<bool>,
-    news: watch::Sender<Arc<CrashReport>>,
+    report_sender: watch::Sender<Arc<CrashReport>>,
 }
 
-impl CrashWitness {
-    /// Starts with nothing seen, at this start of the named agent.
+impl CrashRecorder {
+    /// Starts without crashes, under a random number for this start of the named agent.
     pub(super) fn new(name: &Arc<str>, target: SocketAddr, logger: Logger) -> Rc<Self> {
         let ledger = CrashLedger::new(Arc::clone(name), rand::random());
-        let news = watch::channel(Arc::new(ledger.own_report().clone())).0;
+        let report_sender = watch::channel(Arc::new(ledger.own_report().clone())).0;
         Rc::new(Self {
             target,
             logger,
-            began: Instant::now(),
+            started: Instant::now(),
             ledger: RefCell::new(ledger),
             runs: RefCell::default(),
             ends: Cell::new(0),
             is_probing: Cell::new(false),
-            news,
+            report_sender,
         })
     }
 
-    /// What is told, whenever it changes.
+    /// The report to publish; the receiver is notified of each change.
     pub(super) fn subscribe(&self) -> watch::Receiver<Arc<CrashReport>> {
-        self.news.subscribe()
+        self.report_sender.subscribe()
     }
 
-    /// A run came to its end.
+    /// Records that a run completed without a crash.
     pub(super) fn note_survival(&self, call: CallFingerprint) {
         self.runs.borrow_mut().note_answer(&self.incarnation(), self.now());
         if self.ledger.borrow_mut().record_survival(call, self.now()) {
-            self.tell();
+            self.send_report();
         }
     }
 
-    /// A run that was sent so long ago broke off, or was cancelled: looks whether the target ends.
+    /// Records a run, sent `age` ago, that broke off or was cancelled, and probes whether the target ended.
     pub(super) fn note_unresolved_run(
         self: &Rc<Self>,
         call: CallFingerprint,
@@ -91,42 +91,42 @@
         let run = UnresolvedRun { call, sent: self.now().saturating_sub(age), is_broken };
         self.runs.borrow_mut().add(&self.incarnation(), run, self.now());
         if !self.is_probing.replace(true) {
-            let witness = Rc::clone(self);
+            let recorder = Rc::clone(self);
             spawn_local(async move {
-                if is_refused(witness.target).await {
-                    witness.note_end();
+                if refuses_connections(recorder.target).await {
+                    recorder.record_target_end();
                 }
-                witness.is_probing.set(false);
+                recorder.is_probing.set(false);
             });
         }
     }
 
-    /// Drops crashes that are too old, for as long as the process lives.
-    pub(super) async fn age(self: Rc<Self>) {
+    /// Drops crashes that are too old, until the process ends.
+    pub(super) async fn expire_crashes(self: Rc<Self>) {
         loop {
-            sleep(AGING_PAUSE).await;
+            sleep(EXPIRY_PAUSE).await;
             if self.ledger.borrow_mut().expire(self.now()) {
-                self.tell();
+                self.send_report();
             }
         }
     }
 
-    fn note_end(&self) {
+    fn record_target_end(&self) {
         let incarnation = self.incarnation();
         let calls = self.runs.borrow_mut().take_ended(&incarnation, self.now());
         self.ends.set(self.ends.get() + 1);
         if self.ledger.borrow_mut().record_crash(&incarnation, &calls, self.now()) {
             warn!(self.logger, "target ended under requests"; "step" => "crashes",
                 "peer" => %self.target, "requests" => calls.len());
-            self.tell();
+            self.send_report();
         }
     }
 
-    fn tell(&self) {
-        self.news.send_replace(Arc::new(self.ledger.borrow().own_report().clone()));
+    fn send_report(&self) {
+        self.report_sender.send_replace(Arc::new(self.ledger.borrow().own_report().clone()));
     }
 
-    /// The target's life, as far as this agent can tell lives apart.
+    /// The target's current incarnation, named by the agent, its start and the crashes it has seen since.
     fn incarnation(&self) -> TargetIncarnation {
         let ledger = self.ledger.borrow();
         let report = ledger.own_report();
@@ -135,15 +135,15 @@
     }
 
     fn now(&self) -> Timestamp {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 }
 
-/// Whether the target stops taking connections.
-async fn is_refused(target: SocketAddr) -> bool {
+/// Probes the target; returns true as soon as it refuses a connection.
+async fn refuses_connections(target: SocketAddr) -> bool {
     for _ in 0..PROBE_COUNT {
         sleep(PROBE_PAUSE).await;
-        let connected = timeout(PROBE_LIMIT, TcpStream::connect(target)).await;
+        let connected = timeout(PROBE_TIMEOUT, TcpStream::connect(target)).await;
         if matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused) {
             return true;
         }
@@ -151,18 +151,18 @@
     false
 }
 
-/// Writes what has been seen into the agent's object whenever it changes, for as long as the process lives.
+/// Writes the report to the agent's object whenever it changes, until the process ends.
 pub(super) async fn publish(
     platform: PlatformClient,
-    mut news: watch::Receiver<Arc<CrashReport>>,
+    mut report_sender: watch::Receiver<Arc<CrashReport>>,
     logger: Logger,
 ) {
-    let mut earlier = None;
+    let mut previous = None;
     let mut backoff = platform_backoff();
-    while news.changed().await.is_ok() {
+    while report_sender.changed().await.is_ok() {
         loop {
-            let report = Arc::clone(&news.borrow_and_update());
-            match write(&platform, &report, &mut earlier).await {
+            let report = Arc::clone(&report_sender.borrow_and_update());
+            match write(&platform, &report, &mut previous).await {
                 Ok(()) => {
                     info!(logger, "crashes told"; "step" => "crashes",
                         "sequence" => report.sequence, "crashes" => report.crashes.len());
@@ -175,27 +175,27 @@
             }
         }
         backoff.reset();
-        sleep(GATHER_PAUSE).await;
+        sleep(COALESCE_PAUSE).await;
     }
 }
 
-/// Writes a report, with what the object says of an earlier start of this agent.
+/// Writes a report, merged with the one that the object holds from a previous start of this agent.
 async fn write(
     platform: &PlatformClient,
     report: &CrashReport,
-    earlier: &mut Option<CrashReport>,
+    previous: &mut Option<CrashReport>,
 ) -> PlatformResult<()> {
     let (version, stored) = match platform.get::<CrashReport>(CRASH_KIND, &report.router).await {
         Ok(object) => (object.version, object.value),
         Err(PlatformError::Missing) => (0, None),
         Err(failure) => return Err(failure),
     };
-    if earlier.is_none() {
-        *earlier = stored.filter(|stored| stored.boot != report.boot);
+    if previous.is_none() {
+        *previous = stored.filter(|stored| stored.boot != report.boot);
     }
-    let mut whole = report.clone();
-    if let Some(earlier) = earlier {
-        whole.add_earlier(earlier);
+    let mut merged = report.clone();
+    if let Some(previous) = previous {
+        merged.add_earlier(previous);
     }
-    platform.put(CRASH_KIND, &report.router, version, &whole).await.map(drop)
+    platform.put(CRASH_KIND, &report.router, version, &merged).await.map(drop)
 }
--- a/crates/daemon/src/agent/decisions.rs
+++ b/crates/daemon/src/agent/decisions.rs
@@ -39,7 +39,7 @@
 pub type CommandSender = mpsc::Sender<AgentCommand>;
 
 /// The rings that join this duty to the others.
-pub struct DecisionRings {
+pub struct DecisionChannels {
     /// What it is told.
     pub commands: mpsc::Receiver<AgentCommand>,
     /// Work for the target.
@@ -101,7 +101,7 @@
 struct DecisionDuty {
     settings: Arc<AgentSettings>,
     state: AgentState,
-    works: HashMap<WorkId, WorkChannel>,
+    work_channels: HashMap<WorkId, WorkChannel>,
     jobs: mpsc::Sender<TargetJob>,
     permits: mpsc::Sender<PermitJob>,
     next_work: WorkId,
@@ -114,14 +114,14 @@
 /// Runs until all senders are gone.
 pub async fn run(
     settings: Arc<AgentSettings>,
-    rings: DecisionRings,
+    channels: DecisionChannels,
     mut epoch: watch::Receiver<u64>,
     logger: Logger,
 ) {
     // Nothing is decided before the slot is taken; offers wait in the ring until then.
-    let Ok(taken) = epoch.wait_for(|epoch| *epoch > 0).await.map(|epoch| *epoch) else { return };
-    let DecisionRings { mut commands, jobs, permits } = rings;
-    let mut duty = DecisionDuty::new(settings, jobs, permits, taken, logger);
+    let Ok(epoch) = epoch.wait_for(|epoch| *epoch > 0).await.map(|epoch| *epoch) else { return };
+    let DecisionChannels { mut commands, jobs, permits } = channels;
+    let mut duty = DecisionDuty::new(settings, jobs, permits, epoch, logger);
     let mut ticks = interval(TICK_PAUSE);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -154,7 +154,7 @@
         Self {
             state: AgentState::new(options),
             settings,
-            works: HashMap::new(),
+            work_channels: HashMap::new(),
             jobs,
             permits,
             next_work: 0,
@@ -172,22 +172,25 @@
     fn handle(&mut self, command: AgentCommand) {
         match command {
             AgentCommand::Offer { offer, replies, work } => self.offer(offer, replies, work),
-            AgentCommand::Release(work) => self.event(AgentEvent::Released(work)),
+            AgentCommand::Release(work) => self.handle_event(AgentEvent::Released(work)),
             AgentCommand::Cancel(work) => self.cancel(work),
             AgentCommand::Ended { work, service_time, report } => {
-                self.event(AgentEvent::Finished { work, service_time });
-                let known = self.works.remove(&work).map_or(0, |w| w.offer.known_residency);
+                self.handle_event(AgentEvent::Finished { work, service_time });
+                let known = self
+                    .work_channels
+                    .remove(&work)
+                    .map_or(0, |channel| channel.offer.known_residency);
                 let _ = report.send(self.state.report(known, self.now()));
             }
             AgentCommand::Unsent(work) => self.unsent(work),
-            AgentCommand::Event(event) => self.event(event),
+            AgentCommand::Event(event) => self.handle_event(event),
             AgentCommand::LoadEnded { key, result, took } => self.load_ended(key, result, took),
             AgentCommand::Status(reply) => {
                 let _ = reply.send(self.status());
             }
             AgentCommand::Stop(drained) => {
                 self.drained = Some(drained);
-                self.event(AgentEvent::Stopping);
+                self.handle_event(AgentEvent::Stopping);
             }
         }
         self.check_drained();
@@ -215,26 +218,26 @@
             time_left: offer.time_left,
             revision: offer.revision,
         };
-        self.works.insert(work, WorkChannel { offer, replies, cancel: None });
+        self.work_channels.insert(work, WorkChannel { offer, replies, cancel: None });
         if wrong_protocol {
             return self.refuse(work, Refusal::new(RefusalReason::WrongProtocol));
         }
-        self.event(AgentEvent::Offered(Box::new(summary)));
+        self.handle_event(AgentEvent::Offered(Box::new(summary)));
     }
 
     fn cancel(&mut self, work: WorkId) {
-        self.event(AgentEvent::Cancelled(work));
+        self.handle_event(AgentEvent::Cancelled(work));
         // Work that runs on keeps its channel until the target's part has ended.
-        let runs = self.works.get(&work).is_some_and(|channel| channel.cancel.is_some());
+        let runs = self.work_channels.get(&work).is_some_and(|channel| channel.cancel.is_some());
         if !runs {
-            self.works.remove(&work);
+            self.work_channels.remove(&work);
         }
     }
 
     /// The target did not even take the connection. The request was not run, and saying so lets the
     /// entry try another target.
     fn unsent(&mut self, work: WorkId) {
-        self.event(AgentEvent::Finished { work, service_time: Duration::ZERO });
+        self.handle_event(AgentEvent::Finished { work, service_time: Duration::ZERO });
         self.refuse(work, Refusal::new(RefusalReason::TargetDown));
     }
 
@@ -250,49 +253,49 @@
         }
         info!(self.logger, "load ended"; "step" => "load", "adapter" => %key, "result" => label,
             "ms" => took.as_millis() as u64);
-        self.tell_permits(PermitJob::End(key.clone()));
-        self.event(AgentEvent::LoadEnded { key, result, took });
+        self.send_permit_job(PermitJob::Release(key.clone()));
+        self.handle_event(AgentEvent::LoadEnded { key, result, took });
     }
 
     fn tick(&mut self) {
-        self.event(AgentEvent::Tick);
-        self.sample();
+        self.handle_event(AgentEvent::Tick);
+        self.update_gauges();
         self.check_drained();
     }
 
-    fn event(&mut self, event: AgentEvent) {
+    fn handle_event(&mut self, event: AgentEvent) {
         let now = self.now();
         for action in self.state.handle(event, now) {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: AgentAction) {
+    fn perform(&mut self, action: AgentAction) {
         match action {
             AgentAction::Accept { work } => self.accept(work),
             AgentAction::Refuse { work, refusal } => self.refuse(work, refusal),
             AgentAction::Start { work, load_stall } => self.start(work, load_stall),
             AgentAction::Abort { work } => {
-                let channel = self.works.get_mut(&work);
+                let channel = self.work_channels.get_mut(&work);
                 if let Some(cancel) = channel.and_then(|channel| channel.cancel.take()) {
                     let _ = cancel.send(());
                 }
             }
             AgentAction::AskPermit { key, urgency } => {
-                self.tell_permits(PermitJob::Ask(key, urgency));
+                self.send_permit_job(PermitJob::Request(key, urgency));
             }
-            AgentAction::DropPermit { key } => self.tell_permits(PermitJob::End(key)),
-            AgentAction::Load { key } => self.order(TargetJob::Load(key)),
+            AgentAction::DropPermit { key } => self.send_permit_job(PermitJob::Release(key)),
+            AgentAction::Load { key } => self.send_job(TargetJob::Load(key)),
             AgentAction::Evict { key } => {
                 counter!(names::EVICTIONS).increment(1);
                 debug!(self.logger, "evict"; "step" => "evict", "adapter" => %key);
-                self.order(TargetJob::Evict(key));
+                self.send_job(TargetJob::Evict(key));
             }
         }
     }
 
     fn accept(&mut self, work: WorkId) {
-        let Some(channel) = self.works.get(&work) else { return };
+        let Some(channel) = self.work_channels.get(&work) else { return };
         let report = self.state.report(channel.offer.known_residency, self.now());
         let request = channel.offer.request;
         // The channel is new, so there is room.
@@ -300,7 +303,7 @@
     }
 
     fn refuse(&mut self, work: WorkId, refusal: Refusal) {
-        let Some(channel) = self.works.remove(&work) else { return };
+        let Some(channel) = self.work_channels.remove(&work) else { return };
         counter!(names::REFUSALS, "reason" => refusal.reason.name()).increment(1);
         let report = self.state.report(channel.offer.known_residency, self.now());
         let request = channel.offer.request;
@@ -308,7 +311,7 @@
     }
 
     fn start(&mut self, work: WorkId, load_stall: Duration) {
-        let Some(channel) = self.works.get_mut(&work) else { return };
+        let Some(channel) = self.work_channels.get_mut(&work) else { return };
         histogram!(names::LOAD_STALL_SECONDS).record(load_stall.as_secs_f64());
         let (cancel, cancelled) = oneshot::channel();
         channel.cancel = Some(cancel);
@@ -319,25 +322,25 @@
             load_stall,
             cancelled,
         };
-        self.order(TargetJob::Run(job));
+        self.send_job(TargetJob::Run(job));
     }
 
     /// The state machine bounds the jobs under way far below the ring's depth: the batch, the loads
     /// and one eviction.
-    fn order(&mut self, job: TargetJob) {
+    fn send_job(&mut self, job: TargetJob) {
         if let Err(error) = self.jobs.try_send(job) {
             slog::error!(self.logger, "job lost"; "step" => "order", "error" => %error);
         }
     }
 
     /// The state machine asks for no more permits at once than the engine may load.
-    fn tell_permits(&self, job: PermitJob) {
+    fn send_permit_job(&self, job: PermitJob) {
         if let Err(error) = self.permits.try_send(job) {
             slog::error!(self.logger, "permit job lost"; "step" => "permit", "error" => %error);
         }
     }
 
-    fn sample(&mut self) {
+    fn update_gauges(&mut self) {
         let fill = f64::from(self.state.running()) / f64::from(self.settings.batch_limit);
         gauge!(names::BATCH_FILL).set(fill);
         if self.state.running() > 0 {
--- a/crates/daemon/src/agent/engine.rs
+++ b/crates/daemon/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, and the watch over its health, its restarts and what it holds.
+//! Sends orders to an engine, and polls its health, restarts and resident adapters.
 
 use super::{decisions::AgentCommand, targets::TargetContext};
 use crate::options::constants;
@@ -23,18 +23,18 @@
 };
 use tokio::time::sleep;
 
-/// Longest time that a load may take.
+/// Timeout of a load.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest time that other calls may take.
+/// Timeout of all other calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Looks in a row that must fail before the engine counts as down.
-const DOWN_LOOKS: u32 = 2;
-/// Looks in a row that must show an idle engine before a new agent takes work: the load report
-/// lags, and requests of an earlier agent hold adapters that this one has no pins for.
-const IDLE_LOOKS: u32 = 2;
-/// Looks between inventories.
-const INVENTORY_LOOKS: u32 = 20;
-/// Header with the fencing number of an order.
+/// Consecutive polls that must fail before the engine counts as down.
+const DOWN_POLLS: u32 = 2;
+/// Consecutive polls that must show an idle engine before a new agent takes work: the engine's load
+/// report lags, and this agent has no pins for the adapters that a previous agent's requests use.
+const IDLE_POLLS: u32 = 2;
+/// Polls between two inventories.
+const INVENTORY_POLLS: u32 = 20;
+/// Header that carries an order's fencing number: the epoch of the agent's slot.
 const FENCING_HEADER: HeaderName = HeaderName::from_static("x-fencing-number");
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -61,10 +61,10 @@
     let store = context.settings.weight_store.map(|store| store.to_string()).unwrap_or_default();
     let path = format!("http://{store}/weights/{}/{}", key.name, key.version);
     let order = json!({"lora_name": key.to_string(), "lora_path": path});
-    let answer = give_order(&context, "/v1/load_lora_adapter", &order, LOAD_TIMEOUT).await;
+    let answer = send_order(&context, "/v1/load_lora_adapter", &order, LOAD_TIMEOUT).await;
     let result = match answer {
         Ok(answer) if answer.status.is_success() => LoadResult::Loaded,
-        // A load whose answer was lost, or that an earlier agent ordered, took effect all the same.
+        // An earlier load took effect: its answer was lost, or a previous agent ordered it.
         Ok(answer) if answer.text().contains("already loaded") => LoadResult::Loaded,
         Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE => LoadResult::StoreBusy,
         Ok(answer) => {
@@ -87,7 +87,7 @@
 pub(super) async fn evict(context: TargetContext, key: AdapterKey) {
     context.orders.fetch_add(1, Ordering::AcqRel);
     let order = json!({"lora_name": key.to_string()});
-    let answer = give_order(&context, "/v1/unload_lora_adapter", &order, CALL_TIMEOUT).await;
+    let answer = send_order(&context, "/v1/unload_lora_adapter", &order, CALL_TIMEOUT).await;
     let evicted = match answer {
         Ok(answer) => answer.status.is_success() || answer.status == StatusCode::NOT_FOUND,
         Err(error) => {
@@ -101,7 +101,7 @@
     let _ = context.commands.send(AgentCommand::Event(event)).await;
 }
 
-async fn give_order(
+async fn send_order(
     context: &TargetContext,
     path: &str,
     order: &serde_json::Value,
@@ -116,46 +116,46 @@
     context.http.fetch(request, limit).await
 }
 
-/// Watches the engine for as long as the process lives.
+/// Polls the engine until the process ends.
 pub(super) async fn watch(context: TargetContext) {
     let mut epoch = context.epoch.clone();
     if epoch.wait_for(|epoch| *epoch > 0).await.is_err() {
         return;
     }
-    let mut watch = EngineWatch { context, known: None, up: false, failures: 0, looks: 0 };
+    let mut watch = EngineWatch { context, known_start: None, is_up: false, failures: 0, polls: 0 };
     watch.wait_idle().await;
     loop {
         sleep(constants::POLL_PAUSE).await;
-        match watch.look().await {
-            Ok(report) => watch.seen(report).await,
-            Err(error) => watch.missed(&error).await,
+        match watch.poll().await {
+            Ok(report) => watch.handle_report(report).await,
+            Err(error) => watch.handle_failure(&error).await,
         }
     }
 }
 
 struct EngineWatch {
     context: TargetContext,
-    known: Option<f64>,
-    up: bool,
+    known_start: Option<f64>,
+    is_up: bool,
     failures: u32,
-    looks: u32,
+    polls: u32,
 }
 
 impl EngineWatch {
-    /// A new agent takes no work while requests of an earlier one run: it has no pins for them, so
-    /// it could evict their adapters and cut off their answers.
+    /// Waits until the requests of a previous agent have ended. This agent has no pins for them, so it
+    /// could evict their adapters and break off their answers.
     async fn wait_idle(&self) {
         let mut idle = 0;
-        while idle < IDLE_LOOKS {
+        while idle < IDLE_POLLS {
             sleep(constants::POLL_PAUSE).await;
-            idle = match self.look().await {
+            idle = match self.poll().await {
                 Ok(report) if report.running + report.waiting == 0 => idle + 1,
                 _ => 0,
             };
         }
     }
 
-    async fn look(&self) -> Result<EngineReport> {
+    async fn poll(&self) -> Result<EngineReport> {
         let http = &self.context.http;
         let uri = url(self.context.settings.target, "/metrics");
         let answer = http.call(Method::GET, &uri, "", CALL_TIMEOUT).await?;
@@ -168,45 +168,46 @@
         })
     }
 
-    async fn seen(&mut self, report: EngineReport) {
+    async fn handle_report(&mut self, report: EngineReport) {
         self.failures = 0;
-        let restarted = self.known.is_some_and(|known| known.to_bits() != report.started.to_bits());
-        self.known = Some(report.started);
+        let restarted =
+            self.known_start.is_some_and(|known| known.to_bits() != report.started.to_bits());
+        self.known_start = Some(report.started);
         if restarted {
             info!(self.context.logger, "engine restarted"; "step" => "watch engine",
                 "peer" => %self.context.settings.target);
-            self.tell(AgentEvent::TargetRestarted).await;
+            self.send_event(AgentEvent::TargetRestarted).await;
         }
-        if !self.up || restarted || self.looks.is_multiple_of(INVENTORY_LOOKS) {
+        if !self.is_up || restarted || self.polls.is_multiple_of(INVENTORY_POLLS) {
             self.take_inventory().await;
         }
-        self.looks += 1;
-        if !self.up {
-            self.up = true;
-            self.tell(AgentEvent::TargetUp(true)).await;
+        self.polls += 1;
+        if !self.is_up {
+            self.is_up = true;
+            self.send_event(AgentEvent::TargetUp(true)).await;
         }
     }
 
-    async fn missed(&mut self, error: &eyre::Report) {
+    async fn handle_failure(&mut self, error: &eyre::Report) {
         self.failures += 1;
-        if self.failures == DOWN_LOOKS && self.up {
+        if self.failures == DOWN_POLLS && self.is_up {
             warn!(self.context.logger, "engine down"; "step" => "watch engine",
                 "peer" => %self.context.settings.target, "error" => format!("{error:#}"));
-            self.up = false;
-            self.tell(AgentEvent::TargetUp(false)).await;
+            self.is_up = false;
+            self.send_event(AgentEvent::TargetUp(false)).await;
         }
     }
 
-    /// Compares the engine's own list with what this agent believes. A list that an order overtook
-    /// says nothing: it may show an adapter that has just gone.
+    /// Reports the engine's list of resident adapters to the decisions duty. A list during which an
+    /// order was sent or answered is discarded: it may show an adapter that has just been evicted.
     async fn take_inventory(&self) {
         let before = self.context.orders.load(Ordering::Acquire);
         if !before.is_multiple_of(2) {
             return;
         }
         match self.inventory().await {
-            Ok(held) if self.context.orders.load(Ordering::Acquire) == before => {
-                self.tell(AgentEvent::Inventory(held)).await;
+            Ok(residents) if self.context.orders.load(Ordering::Acquire) == before => {
+                self.send_event(AgentEvent::Inventory(residents)).await;
             }
             Ok(_) => {}
             Err(error) => warn!(self.context.logger, "inventory failed";
@@ -218,7 +219,7 @@
     async fn inventory(&self) -> Result<Vec<AdapterKey>> {
         let uri = url(self.context.settings.target, "/v1/models");
         let list: ModelList = self.context.http.get_json(&uri, CALL_TIMEOUT).await?;
-        // The base model itself is on the list too, without a version.
+        // The list also holds the base model, which has no version.
         let keys = list.data.iter().filter_map(|model| {
             let selector = ModelSelector::parse(&model.id).ok()?;
             Some(AdapterKey::new(selector.name, selector.version?))
@@ -226,7 +227,7 @@
         Ok(keys.collect())
     }
 
-    async fn tell(&self, event: AgentEvent) {
+    async fn send_event(&self, event: AgentEvent) {
         let _ = self.context.commands.send(AgentCommand::Event(event)).await;
     }
 }
@@ -234,7 +235,7 @@
 fn read_metric(text: &str, name: &str) -> Result<f64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     let value = line.ok_or_else(|| eyre!("engine metrics lack {name}"))?;
-    // Labels, if any, stand between the name and the value.
+    // Labels, if any, are between the name and the value.
     let value = value.rsplit(' ').next().unwrap_or_default();
     value.trim().parse().wrap_err_with(|| format!("engine metric {name}"))
 }
--- a/crates/daemon/src/agent/permits.rs
+++ b/crates/daemon/src/agent/permits.rs
@@ -1,4 +1,4 @@
-//! Load permits for an agent: asked of the broker, or of its own small share without one.
+//! Requests load permits for an agent: from the broker, or from the agent's own pool if no broker grants one.
 
 use super::decisions::{AgentCommand, CommandSender};
 use crate::{
@@ -34,26 +34,26 @@
 
 /// Longest wait for a connection to a broker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Entries that are asked for one permit.
+/// Broker attempts for one permit before the agent's own pool is used.
 const BROKER_ATTEMPTS: usize = 4;
-/// Time for which an entry that could not be reached is passed over.
+/// Time for which an entry that could not be reached is skipped.
 const AVOID_TIME: Duration = Duration::from_secs(5);
-/// Pause between looks at the own share.
-const SHARE_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for a broker's grant before the own share is asked too. A frozen broker must not
-/// stop all loads; a busy one is overrun by at most the shares.
+/// Pause between checks of the agent's own pool.
+const LOCAL_POLL_PAUSE: Duration = Duration::from_millis(50);
+/// Longest wait for a broker's grant before the agent's own pool is used. A frozen broker must not stop
+/// all loads; a busy broker's rate is exceeded at most by the sum of the agents' own rates.
 const GRANT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Entries that may grant permits.
+/// Current entries, each of which may be the broker that grants permits.
 pub type EntryList = watch::Receiver<Vec<EntryRecord>>;
 
-/// What the decisions ask of this duty.
+/// Jobs that the decisions duty sends to this duty.
 #[derive(Debug)]
 pub enum PermitJob {
-    /// Get a permit.
-    Ask(AdapterKey, LoadUrgency),
-    /// Give it back, or stop asking.
-    End(AdapterKey),
+    /// Get a permit for a load; sent again to change the urgency of a request that waits.
+    Request(AdapterKey, LoadUrgency),
+    /// Return the permit, or cancel the request for it.
+    Release(AdapterKey),
 }
 
 struct PermitDuty {
@@ -63,7 +63,7 @@
     commands: CommandSender,
     connection: RefCell<Option<(SocketAddr, Connection)>>,
     avoided: RefCell<HashMap<SocketAddr, Instant>>,
-    share: RefCell<PermitPool>,
+    local_pool: RefCell<PermitPool>,
     requests: Arc<AtomicUsize>,
     started: Instant,
     logger: Logger,
@@ -80,7 +80,7 @@
     let endpoint = match link::client_endpoint(settings.listen.ip(), &settings.common.keys) {
         Ok(endpoint) => endpoint,
         Err(failure) => {
-            slog::error!(logger, "no link to brokers"; "step" => "bind",
+            slog::error!(logger, "bind endpoint for brokers failed"; "step" => "bind",
                 "error" => format!("{failure:#}"));
             return;
         }
@@ -97,79 +97,80 @@
         commands,
         connection: RefCell::new(None),
         avoided: RefCell::new(HashMap::new()),
-        share: RefCell::new(PermitPool::new(limits, Duration::ZERO)),
+        local_pool: RefCell::new(PermitPool::new(limits, Duration::ZERO)),
         requests: Arc::default(),
         started: Instant::now(),
         logger,
     });
-    let mut open: HashMap<AdapterKey, OpenRequest> = HashMap::new();
+    let mut open_requests: HashMap<AdapterKey, OpenRequest> = HashMap::new();
     while let Some(job) = jobs.recv().await {
         match job {
-            PermitJob::Ask(key, urgency) => {
-                if let Some(request) = open.get(&key) {
+            PermitJob::Request(key, urgency) => {
+                if let Some(request) = open_requests.get(&key) {
                     request.urgency.send_replace(urgency);
                     continue;
                 }
                 let (end, ended) = oneshot::channel();
                 let (sender, receiver) = watch::channel(urgency);
-                open.insert(key.clone(), OpenRequest { urgency: sender, _end: end });
-                spawn_local(Rc::clone(&duty).follow(key, receiver, ended));
+                open_requests.insert(key.clone(), OpenRequest { urgency: sender, _end: end });
+                spawn_local(Rc::clone(&duty).hold_permit(key, receiver, ended));
             }
-            PermitJob::End(key) => drop(open.remove(&key)),
+            PermitJob::Release(key) => drop(open_requests.remove(&key)),
         }
     }
 }
 
-/// A request under way. Dropping it ends the request.
+/// A permit that is requested or held. Dropping it cancels the request or returns the permit.
 struct OpenRequest {
     urgency: watch::Sender<LoadUrgency>,
     _end: oneshot::Sender<()>,
 }
 
 impl PermitDuty {
-    /// Gets one permit and holds it until it is given back.
-    async fn follow(
+    /// Gets one permit and holds it until `ended` resolves.
+    async fn hold_permit(
         self: Rc<Self>,
         key: AdapterKey,
         mut urgency: watch::Receiver<LoadUrgency>,
         ended: oneshot::Receiver<()>,
     ) {
         let request = PermitRequest { target: self.settings.common.name.clone(), key: key.clone() };
-        let getting = async {
-            let asked = timeout(GRANT_TIMEOUT, self.ask_brokers(&request, &mut urgency)).await;
-            if let Ok(Some(permit)) = asked {
+        let acquiring = async {
+            let granted =
+                timeout(GRANT_TIMEOUT, self.request_from_brokers(&request, &mut urgency)).await;
+            if let Ok(Some(permit)) = granted {
                 return Some(permit);
             }
-            let last = *urgency.borrow();
-            self.ask_share(&request, last).await;
+            let latest_urgency = *urgency.borrow();
+            self.wait_for_local_permit(&request, latest_urgency).await;
             None
         };
         tokio::pin!(ended);
         let permit = tokio::select! {
-            permit = getting => permit,
+            permit = acquiring => permit,
             _ = &mut ended => {
-                self.share.borrow_mut().end(&request);
+                self.local_pool.borrow_mut().end(&request);
                 return;
             }
         };
         let event = AgentEvent::LoadPermitted(key);
         let _ = self.commands.send(AgentCommand::Event(event)).await;
         let _ = ended.await;
-        self.share.borrow_mut().end(&request);
-        // Ends the broker's stream, which gives the permit back.
+        self.local_pool.borrow_mut().end(&request);
+        // Closes the stream to the broker, which returns the permit.
         drop(permit);
     }
 
-    /// Asks one entry after another: a broker that dies is found out by its silence, and the next in
-    /// the order takes its place.
-    async fn ask_brokers(
+    /// Requests a permit from one entry after another. A dead broker's connection times out, and the next
+    /// entry in rendezvous order becomes the broker.
+    async fn request_from_brokers(
         &self,
         request: &PermitRequest,
         urgency: &mut watch::Receiver<LoadUrgency>,
     ) -> Option<quinn::SendStream> {
         let _count = CountGuard::new(&self.requests);
         for _ in 0..BROKER_ATTEMPTS {
-            match self.ask_broker(request, urgency).await {
+            match self.request_from_broker(request, urgency).await {
                 Ok(permit) => return Some(permit),
                 Err(failure) => {
                     debug!(self.logger, "no permit"; "step" => "permit",
@@ -180,9 +181,9 @@
         None
     }
 
-    /// Asks the first entry in rendezvous order that can be reached, and returns the stream that
-    /// holds the permit.
-    async fn ask_broker(
+    /// Requests a permit from the first reachable entry in rendezvous order. The permit is held while the
+    /// returned stream is open.
+    async fn request_from_broker(
         &self,
         request: &PermitRequest,
         urgency: &mut watch::Receiver<LoadUrgency>,
@@ -193,8 +194,8 @@
         tokio::pin!(grant);
         loop {
             let urgency_now = *urgency.borrow_and_update();
-            let ask = PeerFrame::Ask { request: request.clone(), urgency: urgency_now };
-            frames::write(&mut send, &ask).await?;
+            let frame = PeerFrame::Ask { request: request.clone(), urgency: urgency_now };
+            frames::write(&mut send, &frame).await?;
             tokio::select! {
                 granted = &mut grant => return match granted? {
                     Some(grant) if grant.request == *request => Ok(send),
@@ -207,8 +208,8 @@
 
     async fn broker(&self) -> Result<Connection> {
         for peer in self.brokers() {
-            let known = self.connection.borrow().clone();
-            if let Some((address, connection)) = known
+            let current = self.connection.borrow().clone();
+            if let Some((address, connection)) = current
                 && address == peer
                 && connection.close_reason().is_none()
             {
@@ -228,12 +229,13 @@
 
     async fn connect(&self, peer: SocketAddr) -> Result<Connection> {
         let connecting = self.endpoint.connect(peer, PEER_NAME).wrap_err("connect to broker")?;
-        let connected = timeout(CONNECT_TIMEOUT, connecting).await.wrap_err("broker is silent")?;
+        let connected =
+            timeout(CONNECT_TIMEOUT, connecting).await.wrap_err("broker did not answer in time")?;
         connected.wrap_err("connect to broker")
     }
 
-    /// Entries in rendezvous order for the weight store, without those that just failed. Every
-    /// agent gets the same order with no message.
+    /// Entries in rendezvous order for the weight store, without those that failed recently. All agents
+    /// compute the same order without messages.
     fn brokers(&self) -> Vec<SocketAddr> {
         let store = self.settings.weight_store.map(|store| store.to_string()).unwrap_or_default();
         let entries = self.entries.borrow();
@@ -245,16 +247,16 @@
         peers.filter(|peer| !avoided.contains_key(peer)).collect()
     }
 
-    /// Without a broker, each agent loads at its own small share of the store's rate.
-    async fn ask_share(&self, request: &PermitRequest, urgency: LoadUrgency) {
-        self.share.borrow_mut().enqueue(request.clone(), urgency, self.started.elapsed());
+    /// Waits for a permit from the agent's own pool, whose rate is a small share of the store's rate.
+    async fn wait_for_local_permit(&self, request: &PermitRequest, urgency: LoadUrgency) {
+        self.local_pool.borrow_mut().enqueue(request.clone(), urgency, self.started.elapsed());
         loop {
-            // A grant to another follower shows when that one looks.
-            self.share.borrow_mut().grant(self.started.elapsed());
-            if self.share.borrow().holds(request) {
+            // This may grant another waiter's request, which finds it at its next check.
+            self.local_pool.borrow_mut().grant(self.started.elapsed());
+            if self.local_pool.borrow().holds(request) {
                 return;
             }
-            sleep(SHARE_PAUSE).await;
+            sleep(LOCAL_POLL_PAUSE).await;
         }
     }
 }
--- a/crates/daemon/src/agent/platform.rs
+++ b/crates/daemon/src/agent/platform.rs
@@ -30,9 +30,9 @@
 };
 
 /// Longest pause before an agent follows a change, so that a fleet of them does not come at once.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(800);
+const FOLLOW_JITTER: Duration = Duration::from_millis(800);
 /// Longest wait for the slot to be marked as leaving; entries learn it from refusals anyway.
-const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
+const MARK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Where the duty tells what it finds.
 pub struct PlatformSenders {
@@ -57,8 +57,8 @@
         holder: format!("{:016x}", rand::random::<u64>()),
         logger: logger.clone(),
     };
-    let taken = slot.take().await;
-    senders.epoch.send_replace(taken);
+    let epoch = slot.take().await;
+    senders.epoch.send_replace(epoch);
     let presets = PresetFollower {
         store: ConfigStore::new(platform.clone()),
         platform: platform.clone(),
@@ -66,18 +66,18 @@
         logger: logger.clone(),
     };
     let entries = EntryFollower { platform, entries: senders.entries, logger: logger.clone() };
-    let checks = LeaseChecker { slot: slot.clone(), epoch: taken, commands };
+    let lease = LeaseChecker { slot: slot.clone(), epoch: epoch, commands };
     let spawned = async {
         Actor::spawn(None, presets, ()).await?;
         Actor::spawn(None, entries, ()).await?;
-        Actor::spawn(None, checks, ()).await
+        Actor::spawn(None, lease, ()).await
     };
     if let Err(failure) = spawned.await {
         error!(logger, "platform duty failed"; "step" => "spawn", "error" => %failure);
         return;
     }
     let _ = stopping.wait_for(|stop| *stop).await;
-    if timeout(LEAVE_TIMEOUT, slot.mark_leaving(taken)).await.is_err() {
+    if timeout(MARK_TIMEOUT, slot.mark_leaving(epoch)).await.is_err() {
         warn!(logger, "slot not marked as leaving"; "step" => "leave slot");
     }
     std::future::pending::<()>().await;
@@ -128,9 +128,9 @@
     /// one stops ordering when it finds the slot taken, at the latest after a lease's time. On this
     /// host none can be left: the slot's port is bound, by us.
     async fn wait_out_predecessor(&self, known: Option<&SlotRecord>) {
-        let elsewhere = known
+        let is_elsewhere = known
             .is_some_and(|slot| slot.target.peer != self.settings.announce && !slot.target.leaving);
-        if elsewhere && !self.settings.engine_checks_fencing {
+        if is_elsewhere && !self.settings.engine_checks_fencing {
             info!(self.logger, "waiting for the predecessor's lease"; "step" => "take slot");
             sleep(constants::LEASE).await;
         }
@@ -176,7 +176,7 @@
 }
 
 /// Asks for the next look.
-struct LookMessage;
+struct PollMessage;
 
 /// Finds out when another process has taken the slot.
 struct LeaseChecker {
@@ -186,23 +186,23 @@
 }
 
 impl Actor for LeaseChecker {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = ();
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<(), ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         _state: &mut (),
     ) -> Result<(), ActorProcessingErr> {
         // A platform outage takes nothing away: a successor could not have taken the slot in it.
@@ -215,7 +215,7 @@
             let _ = self.commands.send(lost).await;
             return Ok(());
         }
-        myself.send_after(jitter(constants::LEASE / 3), || LookMessage);
+        myself.send_after(jitter(constants::LEASE / 3), || PollMessage);
         Ok(())
     }
 }
@@ -228,28 +228,28 @@
 }
 
 impl Actor for EntryFollower {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = KindWatch<EntryRecord>;
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<Self::State, ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(KindWatch::new(self.platform.clone(), ENTRY_KIND, self.logger.clone()))
     }
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         watch: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
         let changed = watch.next().await;
         self.entries.send_modify(|entries| merge_entries(entries, changed));
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 }
@@ -271,16 +271,16 @@
 }
 
 impl Actor for PresetFollower {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = PresetState;
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<PresetState, ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(PresetState {
             watch: KindWatch::new(self.platform.clone(), ROOT_KIND, self.logger.clone()),
             root: ConfigRoot::default(),
@@ -290,16 +290,16 @@
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         state: &mut PresetState,
     ) -> Result<(), ActorProcessingErr> {
         if let Some(root) = state.watch.next().await.into_iter().find_map(|item| item.value)
             && root.revision > state.root.revision
         {
-            self.follow(root, state).await;
+            self.apply_root(root, state).await;
         }
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 }
@@ -312,10 +312,10 @@
 }
 
 impl PresetFollower {
-    async fn follow(&self, root: ConfigRoot, state: &mut PresetState) {
-        let same = root.preset == state.root.preset
+    async fn apply_root(&self, root: ConfigRoot, state: &mut PresetState) {
+        let is_same = root.preset == state.root.preset
             && root.parts.get(PRESETS_PART) == state.root.parts.get(PRESETS_PART);
-        let preset = match state.preset.take().filter(|_| same) {
+        let preset = match state.preset.take().filter(|_| is_same) {
             Some(preset) => preset,
             None => self.read_preset(&root).await,
         };
@@ -332,16 +332,16 @@
     /// Reads the preset in force; if its part is already gone, the newest one.
     async fn read_preset(&self, root: &ConfigRoot) -> PresetRecord {
         let mut backoff = platform_backoff();
-        let mut wanted = root.clone();
-        sleep(jitter(FOLLOW_PAUSE)).await;
+        let mut current_root = root.clone();
+        sleep(jitter(FOLLOW_JITTER)).await;
         loop {
-            match self.store.preset(&wanted).await {
+            match self.store.preset(&current_root).await {
                 Ok(preset) => return preset,
                 Err(failure) => note_failure(&self.logger, "read preset", &failure),
             }
             sleep(backoff.next_pause()).await;
             if let Ok(Some(newest)) = self.store.root().await {
-                wanted = newest.value.unwrap_or(wanted);
+                current_root = newest.value.unwrap_or(current_root);
             }
         }
     }
--- a/crates/daemon/src/agent/streams.rs
+++ b/crates/daemon/src/agent/streams.rs
@@ -43,13 +43,13 @@
     endpoint: Endpoint,
     commands: CommandSender,
     logger: Logger,
-    open: Arc<AtomicUsize>,
+    open_streams: Arc<AtomicUsize>,
 }
 
 impl StreamServer {
     /// Serves on a bound endpoint.
     pub fn new(endpoint: Endpoint, commands: CommandSender, logger: Logger) -> Self {
-        Self { endpoint, commands, logger, open: Arc::default() }
+        Self { endpoint, commands, logger, open_streams: Arc::default() }
     }
 
     /// Accepts connections for as long as the endpoint lives.
@@ -60,13 +60,13 @@
                 continue;
             }
             let server = self.clone();
-            spawn_local(async move { server.connection(incoming).await });
+            spawn_local(async move { server.accept_connection(incoming).await });
         }
     }
 
     /// Waits until no stream is open.
     pub async fn wait_idle(&self) {
-        while self.open.load(Ordering::Acquire) > 0 {
+        while self.open_streams.load(Ordering::Acquire) > 0 {
             sleep(Duration::from_millis(5)).await;
         }
         // Lets the last acknowledgements go out.
@@ -74,7 +74,7 @@
         self.endpoint.wait_idle().await;
     }
 
-    async fn connection(&self, incoming: Incoming) {
+    async fn accept_connection(&self, incoming: Incoming) {
         let peer = incoming.remote_address();
         let connection = match incoming.await {
             Ok(connection) => connection,
@@ -87,21 +87,21 @@
         let in_flight = Arc::new(AtomicUsize::new(0));
         let (connected, count) = (connection.clone(), Arc::clone(&in_flight));
         spawn_local(async move { heartbeat::answer_heartbeats(&connected, &count).await });
-        self.streams(&connection, &in_flight, peer).await;
+        self.accept_streams(&connection, &in_flight, peer).await;
     }
 
-    async fn streams(
+    async fn accept_streams(
         &self,
         connection: &Connection,
         in_flight: &Arc<AtomicUsize>,
         peer: SocketAddr,
     ) {
         while let Ok((send, receive)) = connection.accept_bi().await {
-            let counts = [CountGuard::new(in_flight), CountGuard::new(&self.open)];
+            let counts = [CountGuard::new(in_flight), CountGuard::new(&self.open_streams)];
             let server = self.clone();
             spawn_local(async move {
                 let _counts = counts;
-                if let Err(error) = server.stream(send, receive).await {
+                if let Err(error) = server.serve_stream(send, receive).await {
                     debug!(server.logger, "offer ended early"; "step" => "stream",
                         "peer" => %peer, "error" => format!("{error:#}"));
                 }
@@ -109,7 +109,7 @@
         }
     }
 
-    async fn stream(&self, mut send: SendStream, mut receive: RecvStream) -> Result<()> {
+    async fn serve_stream(&self, mut send: SendStream, mut receive: RecvStream) -> Result<()> {
         let first = timeout(OFFER_TIMEOUT, frames::read::<EntryFrame>(&mut receive)).await??;
         let Some(EntryFrame::Offer(offer)) = first else {
             let _ = send.reset(FAILED_CODE);
@@ -117,12 +117,12 @@
         };
         let request = offer.request;
         let (replies, mut frames_to_send) = mpsc::channel(REPLY_DEPTH);
-        let work = self.announce(*offer, replies).await?;
-        let answering = send_frames(&mut send, &mut frames_to_send);
-        let listening = self.listen(&mut receive, request, work);
+        let work = self.submit(*offer, replies).await?;
+        let sending = send_frames(&mut send, &mut frames_to_send);
+        let reading = self.read_releases(&mut receive, request, work);
         let result = tokio::select! {
-            result = answering => result,
-            result = listening => result,
+            result = sending => result,
+            result = reading => result,
         };
         if result.is_err() {
             let _ = self.commands.send(AgentCommand::Cancel(work)).await;
@@ -135,7 +135,7 @@
         result
     }
 
-    async fn announce(&self, offer: OfferFrame, replies: ReplySender) -> Result<WorkId> {
+    async fn submit(&self, offer: OfferFrame, replies: ReplySender) -> Result<WorkId> {
         let (sender, receiver) = oneshot::channel();
         let command = AgentCommand::Offer { offer: Arc::new(offer), replies, work: sender };
         self.commands.send(command).await.map_err(|_| eyre!("the decisions duty ended"))?;
@@ -144,17 +144,17 @@
 
     /// Follows what the entry says after its offer. It only returns with an error: the entry keeps
     /// its side open until it has the answer, so an end means that it gave up.
-    async fn listen(
+    async fn read_releases(
         &self,
         receive: &mut RecvStream,
         request: RequestId,
         work: WorkId,
     ) -> Result<()> {
         while let Some(frame) = frames::read::<EntryFrame>(receive).await? {
-            let EntryFrame::Run { request: named } = frame else {
+            let EntryFrame::Run { request: released } = frame else {
                 return Err(eyre!("a second offer on one stream"));
             };
-            ensure!(named == request, "release of request {named}");
+            ensure!(released == request, "release of request {released}");
             let _ = self.commands.send(AgentCommand::Release(work)).await;
         }
         Err(eyre!("the entry gave up"))
@@ -163,11 +163,11 @@
 
 async fn send_frames(
     send: &mut SendStream,
-    waiting: &mut mpsc::Receiver<AgentFrame>,
+    replies: &mut mpsc::Receiver<AgentFrame>,
 ) -> Result<()> {
     let mut batch = Vec::with_capacity(REPLY_DEPTH);
     // Frames that wait together leave together: a packet costs far more than a frame.
-    while waiting.recv_many(&mut batch, REPLY_DEPTH).await > 0 {
+    while replies.recv_many(&mut batch, REPLY_DEPTH).await > 0 {
         let mut bytes = Vec::new();
         for frame in &batch {
             frames::append(&mut bytes, frame)?;
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -1,7 +1,7 @@
 //! The targets duty of an agent: requests and orders to the one target.
 
 use super::{
-    crashes::{self, CrashWitness},
+    crashes::{self, CrashRecorder},
     decisions::{AgentCommand, CommandSender},
     engine,
     streams::ReplySender,
@@ -99,7 +99,7 @@
     pub(super) epoch: watch::Receiver<u64>,
     pub(super) http: HttpClient,
     pub(super) orders: Arc<AtomicU64>,
-    pub(super) crashes: Rc<CrashWitness>,
+    pub(super) crashes: Rc<CrashRecorder>,
     pub(super) logger: Logger,
 }
 
@@ -112,10 +112,10 @@
     logger: Logger,
 ) {
     let http = HttpClient::new();
-    let crashes = CrashWitness::new(&settings.common.name, settings.target, logger.clone());
+    let crashes = CrashRecorder::new(&settings.common.name, settings.target, logger.clone());
     let platform = PlatformClient::new(settings.common.platform, HttpClient::new());
     spawn_local(crashes::publish(platform, crashes.subscribe(), logger.clone()));
-    spawn_local(Rc::clone(&crashes).age());
+    spawn_local(Rc::clone(&crashes).expire_crashes());
     let orders = Arc::default();
     let context = TargetContext { settings, commands, epoch, http, orders, crashes, logger };
     let watcher = context.clone();
@@ -151,9 +151,10 @@
     let RunJob { work, offer, replies, load_stall, cancelled } = job;
     let request = offer.request;
     let started = Instant::now();
-    let carrier = AnswerCarrier { context: &context, offer: &offer, replies: &replies, load_stall };
+    let forwarder =
+        AnswerForwarder { context: &context, offer: &offer, replies: &replies, load_stall };
     let end = tokio::select! {
-        end = carrier.carry() => end,
+        end = forwarder.forward() => end,
         Ok(()) = cancelled => RunEnd::Cancelled,
     };
     let call = request_fingerprint(&offer.work, &offer.head, &offer.body);
@@ -191,15 +192,15 @@
 }
 
 /// Passes one answer on.
-struct AnswerCarrier<'a> {
+struct AnswerForwarder<'a> {
     context: &'a TargetContext,
     offer: &'a OfferFrame,
     replies: &'a ReplySender,
     load_stall: Duration,
 }
 
-impl AnswerCarrier<'_> {
-    async fn carry(&self) -> RunEnd {
+impl AnswerForwarder<'_> {
+    async fn forward(&self) -> RunEnd {
         let request = match self.build() {
             Ok(request) => request,
             Err(error) => return RunEnd::Failed(format!("{error:#}")),
@@ -209,20 +210,20 @@
             Err(error) if error.unsent => return RunEnd::Unsent,
             Err(error) => return RunEnd::Failed(error.message),
         };
-        if let Some(rest) = requested_backoff(&reply) {
+        if let Some(backoff) = requested_backoff(&reply) {
             warn!(self.context.logger, "target wants no requests"; "step" => "run",
                 "peer" => %self.context.settings.target,
-                "for_ms" => u64::try_from(rest.as_millis()).unwrap_or(u64::MAX));
-            let event = AgentEvent::TargetRests(rest);
+                "for_ms" => u64::try_from(backoff.as_millis()).unwrap_or(u64::MAX));
+            let event = AgentEvent::TargetRests(backoff);
             let _ = self.context.commands.send(AgentCommand::Event(event)).await;
         }
         let result = match &self.offer.work {
-            WorkItem::Service { .. } => self.pass(reply, None).await,
+            WorkItem::Service { .. } => self.forward_body(reply, None).await,
             WorkItem::Completion { key, .. } => match reply.status() {
                 StatusCode::NOT_FOUND => return RunEnd::AdapterMissing,
-                status if !status.is_success() => self.pass(reply, None).await,
-                _ if is_event_stream(&reply) => self.pass_events(reply, key).await,
-                _ => self.pass_checked(reply, key).await,
+                status if !status.is_success() => self.forward_body(reply, None).await,
+                _ if is_event_stream(&reply) => self.forward_events(reply, key).await,
+                _ => self.forward_checked(reply, key).await,
             },
         };
         match result {
@@ -243,22 +244,26 @@
     }
 
     /// Passes an answer on as it comes.
-    async fn pass(&self, reply: Response<Incoming>, ran_on: Option<&AdapterKey>) -> Result<()> {
+    async fn forward_body(
+        &self,
+        reply: Response<Incoming>,
+        ran_on: Option<&AdapterKey>,
+    ) -> Result<()> {
         self.send_head(&reply, ran_on).await?;
         let mut body = reply.into_body();
-        while let Some(data) = next_piece(&mut body).await? {
+        while let Some(data) = next_chunk(&mut body).await? {
             self.send_chunk(data).await?;
         }
         Ok(())
     }
 
     /// Passes events on, whole ones only, each checked for its model.
-    async fn pass_events(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
+    async fn forward_events(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
         let mut scanner = EventScanner::new(key.to_string());
         let (parts, mut body) = reply.into_parts();
         let reply = Response::from_parts(parts, ());
         let mut has_head = false;
-        while let Some(data) = next_piece(&mut body).await? {
+        while let Some(data) = next_chunk(&mut body).await? {
             let lines = scanner.push(&data).wrap_err("check answer")?;
             if lines.is_empty() {
                 continue;
@@ -274,7 +279,7 @@
     }
 
     /// Reads an answer whole, checks its model and passes it on.
-    async fn pass_checked(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
+    async fn forward_checked(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
         let (parts, body) = reply.into_parts();
         let limited = http_body_util::Limited::new(body, ANSWER_LIMIT);
         let body = limited.collect().await.map_err(|error| eyre!("read answer: {error}"))?;
@@ -316,11 +321,11 @@
 /// For how long a target that is unavailable wants no requests, if it says so in seconds.
 fn requested_backoff(reply: &Response<Incoming>) -> Option<Duration> {
     let is_unavailable = reply.status() == StatusCode::SERVICE_UNAVAILABLE;
-    let stated = reply.headers().get(RETRY_AFTER).filter(|_| is_unavailable)?;
-    stated.to_str().ok()?.trim().parse().ok().map(Duration::from_secs)
+    let header = reply.headers().get(RETRY_AFTER).filter(|_| is_unavailable)?;
+    header.to_str().ok()?.trim().parse().ok().map(Duration::from_secs)
 }
 
-async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>> {
+async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.wrap_err("read answer")?.into_data() {
             return Ok(Some(data));
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -12,7 +12,7 @@
 };
 
 /// Pause between looks at the file, which may change without a signal.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+const POLL_PAUSE: Duration = Duration::from_secs(2);
 
 /// Reads the settings again when they change; wrong ones are logged and leave the last good ones in
 /// force.
@@ -27,13 +27,13 @@
     let path = settings.path.clone();
     let (sender, receiver) = watch::channel(Arc::clone(&settings.file));
     spawn_local(async move {
-        let mut looks = interval(LOOK_PAUSE);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut ticks = interval(POLL_PAUSE);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_fault = String::new();
         loop {
             let is_signal = tokio::select! {
                 _ = hangup.recv() => true,
-                _ = looks.tick() => false,
+                _ = ticks.tick() => false,
             };
             match T::read(&path) {
                 Ok(fresh) if fresh == **sender.borrow() => {
--- a/crates/daemon/tests/daemon/settings.rs
+++ b/crates/daemon/tests/daemon/settings.rs
@@ -50,30 +50,34 @@
 struct BadSetting {
     base: &'static [&'static str],
     added: &'static [&'static str],
-    says: &'static str,
+    expected: &'static str,
 }
 
 #[test]
 fn wrong_settings_end_with_one_line_and_status_2() {
     let cases = [
-        BadSetting { base: &[], added: &[], says: "COMMAND" },
-        BadSetting { base: &ENTRY[..13], added: &[], says: "--listen" },
-        BadSetting { base: &ENTRY, added: &["--colour", "red"], says: "--colour" },
-        BadSetting { base: &ENTRY[..13], added: &["--listen", "nowhere"], says: "nowhere" },
-        BadSetting { base: &ENTRY[..13], added: &["--listen", "127.0.0.1:2"], says: "--admin" },
-        BadSetting { base: &ENTRY, added: &["--policy", "best"], says: "--policy" },
-        BadSetting { base: &ENTRY, added: &["--body-limit", "5"], says: "--body-limit" },
-        BadSetting { base: &ENTRY, added: &["--requests", "0"], says: "--requests" },
-        BadSetting { base: &ENTRY, added: &["--peer-key", "abc"], says: "--peer-key" },
-        BadSetting { base: &ENTRY, added: &["--log-level", "loud"], says: "--log-level" },
-        BadSetting { base: &AGENT, added: &[], says: "--base or --service" },
-        BadSetting { base: &AGENT, added: &["--base", "s"], says: "--weight-store" },
-        BadSetting { base: &AGENT, added: &["--base", "a", "--service", "b"], says: "only one" },
-        BadSetting { base: &AGENT, added: &["--service", "a b"], says: "--service" },
+        BadSetting { base: &[], added: &[], expected: "COMMAND" },
+        BadSetting { base: &ENTRY[..13], added: &[], expected: "--listen" },
+        BadSetting { base: &ENTRY, added: &["--colour", "red"], expected: "--colour" },
+        BadSetting { base: &ENTRY[..13], added: &["--listen", "nowhere"], expected: "nowhere" },
+        BadSetting { base: &ENTRY[..13], added: &["--listen", "127.0.0.1:2"], expected: "--admin" },
+        BadSetting { base: &ENTRY, added: &["--policy", "best"], expected: "--policy" },
+        BadSetting { base: &ENTRY, added: &["--body-limit", "5"], expected: "--body-limit" },
+        BadSetting { base: &ENTRY, added: &["--requests", "0"], expected: "--requests" },
+        BadSetting { base: &ENTRY, added: &["--peer-key", "abc"], expected: "--peer-key" },
+        BadSetting { base: &ENTRY, added: &["--log-level", "loud"], expected: "--log-level" },
+        BadSetting { base: &AGENT, added: &[], expected: "--base or --service" },
+        BadSetting { base: &AGENT, added: &["--base", "s"], expected: "--weight-store" },
+        BadSetting {
+            base: &AGENT,
+            added: &["--base", "a", "--service", "b"],
+            expected: "only one",
+        },
+        BadSetting { base: &AGENT, added: &["--service", "a b"], expected: "--service" },
         BadSetting {
             base: &AGENT,
             added: &["--service", "desk", "--load-rate", "-1"],
-            says: "--load-rate",
+            expected: "--load-rate",
         },
     ];
     for case in cases {
@@ -81,7 +85,7 @@
         let error = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{:?}: {error}", case.added);
         assert_eq!(error.trim().lines().count(), 1, "{:?}: {error}", case.added);
-        assert!(error.contains(case.says), "{:?}: {error}", case.added);
+        assert!(error.contains(case.expected), "{:?}: {error}", case.added);
     }
 }
 
