--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -116,7 +116,7 @@
         let calls = self.runs.borrow_mut().take_ended(&incarnation, self.now());
         self.ends.set(self.ends.get() + 1);
         if self.ledger.borrow_mut().record_crash(&incarnation, &calls, self.now()) {
-            warn!(self.logger, "target ended under requests"; "step" => "crashes",
+            warn!(self.logger, "target ended while requests ran"; "step" => "crashes",
                 "peer" => %self.target, "requests" => calls.len());
             self.send_report();
         }
--- a/crates/daemon/src/agent/decisions.rs
+++ b/crates/daemon/src/agent/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions duty of an agent: owns the state machine, one command at a time.
+//! The decisions duty of an agent: owns its state machine and handles one command at a time.
 
 use super::{
     permits::PermitJob,
@@ -29,66 +29,66 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Pause between looks at deadlines and permits.
+/// Pause between checks of deadlines and permits.
 const TICK_PAUSE: Duration = Duration::from_millis(20);
-/// Bits that the epoch is shifted by to start the resident set's counter, so that the counters of
-/// two processes that held the slot never meet.
+/// Shift, in bits, of the slot's epoch to the start value of the resident set's counter, so that the
+/// counters of two processes that held the slot never have a value in common.
 const EPOCH_SHIFT: u32 = 32;
 
 /// Sends commands to the decisions duty.
 pub type CommandSender = mpsc::Sender<AgentCommand>;
 
-/// The rings that join this duty to the others.
+/// Channels between this duty and the others.
 pub struct DecisionChannels {
-    /// What it is told.
+    /// Commands from all other duties.
     pub commands: mpsc::Receiver<AgentCommand>,
     /// Work for the target.
     pub jobs: mpsc::Sender<TargetJob>,
-    /// Questions for load permits.
+    /// Requests for load permits.
     pub permits: mpsc::Sender<PermitJob>,
 }
 
-/// Commands.
+/// A command to the decisions duty.
 #[derive(Debug)]
 pub enum AgentCommand {
     /// An entry offers a request.
     Offer {
         /// The offer.
         offer: Arc<OfferFrame>,
-        /// Where its answer goes.
+        /// Channel to the entry's stream, for the answer.
         replies: ReplySender,
-        /// Where its number goes.
+        /// Receives the number that the request gets at this agent.
         work: oneshot::Sender<WorkId>,
     },
     /// The entry releases a reserved request.
     Release(WorkId),
-    /// The entry went away.
+    /// The entry gave up the request or disconnected.
     Cancel(WorkId),
-    /// The target's part of a request has ended.
+    /// A request has ended at the target.
     Ended {
         /// The request.
         work: WorkId,
-        /// Time that it ran.
+        /// Time from its start to its end at the target.
         service_time: Duration,
-        /// Where the report for the end of the answer goes.
+        /// Receives the report that goes into the answer's `End` frame.
         report: oneshot::Sender<TargetReport>,
     },
     /// The target could not be reached, so the request was not run.
     Unsent(WorkId),
-    /// Something that the state machine takes as it is.
+    /// An event that is passed to the state machine unchanged.
     Event(AgentEvent),
-    /// An order to load ended.
+    /// A load order ended.
     LoadEnded {
         /// The adapter.
         key: AdapterKey,
-        /// How.
+        /// Whether the adapter was loaded.
         result: LoadResult,
-        /// Time that it took.
+        /// Time from the order to the engine's answer.
         took: Duration,
     },
-    /// The state, for the status page.
+    /// Return the state for the status page.
     Status(oneshot::Sender<Value>),
-    /// Take no more work, and say when all has ended.
+    /// Accept no more work, and resolve the sender when all work has ended.
     Stop(oneshot::Sender<()>),
 }
 
@@ -118,7 +118,7 @@
     mut epoch: watch::Receiver<u64>,
     logger: Logger,
 ) {
-    // Nothing is decided before the slot is taken; offers wait in the ring until then.
+    // No command is handled before the slot is taken; offers wait in the channel until then.
     let Ok(epoch) = epoch.wait_for(|epoch| *epoch > 0).await.map(|epoch| *epoch) else { return };
     let DecisionChannels { mut commands, jobs, permits } = channels;
     let mut duty = DecisionDuty::new(settings, jobs, permits, epoch, logger);
@@ -227,15 +227,15 @@
 
     fn cancel(&mut self, work: WorkId) {
         self.handle_event(AgentEvent::Cancelled(work));
-        // Work that runs on keeps its channel until the target's part has ended.
+        // Work that has started keeps its channel until it has ended at the target.
         let runs = self.work_channels.get(&work).is_some_and(|channel| channel.cancel.is_some());
         if !runs {
             self.work_channels.remove(&work);
         }
     }
 
-    /// The target did not even take the connection. The request was not run, and saying so lets the
-    /// entry try another target.
+    /// Refuses a request because the target accepted no connection. The request was not run, so the entry
+    /// may retry it at another target.
     fn unsent(&mut self, work: WorkId) {
         self.handle_event(AgentEvent::Finished { work, service_time: Duration::ZERO });
         self.refuse(work, Refusal::new(RefusalReason::TargetDown));
@@ -298,7 +298,7 @@
         let Some(channel) = self.work_channels.get(&work) else { return };
         let report = self.state.report(channel.offer.known_residency, self.now());
         let request = channel.offer.request;
-        // The channel is new, so there is room.
+        // The channel is new, so it has capacity.
         let _ = channel.replies.try_send(AgentFrame::Accepted { request, report });
     }
 
@@ -325,15 +325,16 @@
         self.send_job(TargetJob::Run(job));
     }
 
-    /// The state machine bounds the jobs under way far below the ring's depth: the batch, the loads
-    /// and one eviction.
+    /// Sends a job to the target. The channel cannot be full: the state machine keeps the outstanding jobs
+    /// (the batch, the loads and one eviction) far below its capacity.
     fn send_job(&mut self, job: TargetJob) {
         if let Err(error) = self.jobs.try_send(job) {
             slog::error!(self.logger, "job lost"; "step" => "order", "error" => %error);
         }
     }
 
-    /// The state machine asks for no more permits at once than the engine may load.
+    /// Sends a permit job. The channel cannot be full: the state machine never requests more permits at once
+    /// than the engine's limit of concurrent loads.
     fn send_permit_job(&self, job: PermitJob) {
         if let Err(error) = self.permits.try_send(job) {
             slog::error!(self.logger, "permit job lost"; "step" => "permit", "error" => %error);
--- a/crates/daemon/src/agent/permits.rs
+++ b/crates/daemon/src/agent/permits.rs
@@ -173,7 +173,7 @@
             match self.request_from_broker(request, urgency).await {
                 Ok(permit) => return Some(permit),
                 Err(failure) => {
-                    debug!(self.logger, "no permit"; "step" => "permit",
+                    debug!(self.logger, "permit request failed"; "step" => "permit",
                         "error" => format!("{failure:#}"));
                 }
             }
--- a/crates/daemon/src/agent/platform.rs
+++ b/crates/daemon/src/agent/platform.rs
@@ -1,4 +1,4 @@
-//! The platform duty of an agent: holds the slot, and follows the preset in force.
+//! The platform duty of an agent: holds the slot, and watches the entries and the active preset.
 
 use super::decisions::{AgentCommand, CommandSender};
 use crate::{
@@ -29,20 +29,20 @@
     time::{sleep, timeout},
 };
 
-/// Longest pause before an agent follows a change, so that a fleet of them does not come at once.
+/// Longest pause before an agent reads a changed preset, so that a fleet does not read it at once.
 const FOLLOW_JITTER: Duration = Duration::from_millis(800);
-/// Longest wait for the slot to be marked as leaving; entries learn it from refusals anyway.
+/// Longest wait until the slot is marked as leaving; entries also learn of it from refusals.
 const MARK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where the duty tells what it finds.
+/// Channels on which the duty publishes its results.
 pub struct PlatformSenders {
-    /// The epoch of the slot, once it is taken.
+    /// Epoch of the slot; 0 until the slot is taken.
     pub epoch: watch::Sender<u64>,
-    /// The entries that may grant load permits.
+    /// Entries that may grant load permits.
     pub entries: watch::Sender<Vec<EntryRecord>>,
 }
 
-/// Runs the duty for as long as the process lives.
+/// Runs the duty until the process ends.
 pub async fn run(
     settings: Arc<AgentSettings>,
     commands: CommandSender,
@@ -113,7 +113,7 @@
 
     async fn try_take(&self) -> PlatformResult<u64> {
         let (version, known) = self.read().await?;
-        // Our own write whose answer was lost.
+        // This process took the slot by an earlier write whose answer was lost.
         if let Some(slot) = known.as_ref().filter(|slot| slot.holder == self.holder) {
             return Ok(slot.target.epoch);
         }
@@ -124,9 +124,10 @@
         Ok(epoch)
     }
 
-    /// An engine that ignores fencing numbers would still obey a predecessor on another host. That
-    /// one stops ordering when it finds the slot taken, at the latest after a lease's time. On this
-    /// host none can be left: the slot's port is bound, by us.
+    /// Waits for a lease's time if an agent on another host held the slot. An engine that ignores fencing
+    /// numbers still executes that agent's orders, until the agent finds the slot taken, at the latest
+    /// after a lease's time. On this host no predecessor can run, because this process has bound the
+    /// slot's port.
     async fn wait_out_predecessor(&self, known: Option<&SlotRecord>) {
         let is_elsewhere = known
             .is_some_and(|slot| slot.target.peer != self.settings.announce && !slot.target.leaving);
@@ -175,10 +176,10 @@
     }
 }
 
-/// Asks for the next look.
+/// Starts the next poll.
 struct PollMessage;
 
-/// Finds out when another process has taken the slot.
+/// Checks periodically whether another process has taken the slot.
 struct LeaseChecker {
     slot: SlotHolder,
     epoch: u64,
@@ -205,7 +206,7 @@
         _message: PollMessage,
         _state: &mut (),
     ) -> Result<(), ActorProcessingErr> {
-        // A platform outage takes nothing away: a successor could not have taken the slot in it.
+        // In a platform outage the lease stays: no successor can take the slot then.
         if let Ok((_, Some(slot))) = self.slot.read().await
             && slot.target.epoch > self.epoch
         {
@@ -220,7 +221,7 @@
     }
 }
 
-/// Follows the entries that announce themselves. In an outage of the platform, the last list stays.
+/// Watches the entries that register with the platform. In a platform outage, the last list stays.
 struct EntryFollower {
     platform: PlatformClient,
     entries: watch::Sender<Vec<EntryRecord>>,
@@ -262,7 +263,7 @@
     entries.sort_by(|a, b| a.name.cmp(&b.name));
 }
 
-/// Follows the revision and the preset in force.
+/// Watches the configuration's revision and the active preset.
 struct PresetFollower {
     platform: PlatformClient,
     store: ConfigStore,
@@ -304,7 +305,7 @@
     }
 }
 
-/// What an agent follows of the configuration.
+/// Configuration state of an agent.
 struct PresetState {
     watch: KindWatch<ConfigRoot>,
     root: ConfigRoot,
@@ -329,7 +330,7 @@
         let _ = self.commands.send(AgentCommand::Event(event)).await;
     }
 
-    /// Reads the preset in force; if its part is already gone, the newest one.
+    /// Reads the active preset; if its configuration part is already deleted, the newest one.
     async fn read_preset(&self, root: &ConfigRoot) -> PresetRecord {
         let mut backoff = platform_backoff();
         let mut current_root = root.clone();
--- a/crates/daemon/src/agent/streams.rs
+++ b/crates/daemon/src/agent/streams.rs
@@ -1,4 +1,4 @@
-//! The peers duty of an agent: entries' connections, one stream for each offer.
+//! Accepts entries' connections to an agent; each offer has a stream of its own.
 
 use super::decisions::{AgentCommand, CommandSender};
 use crate::link::{frames, heartbeat};
@@ -25,19 +25,19 @@
     time::{sleep, timeout},
 };
 
-/// Frames of an answer that wait for the stream.
+/// Capacity, in frames, of the channel from an answer to its stream.
 pub const REPLY_DEPTH: usize = 32;
-/// Time in which an entry must send its offer once it has opened a stream.
+/// Longest wait for the offer after an entry has opened a stream.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections held at once.
+/// Largest number of open connections.
 const CONNECTION_LIMIT: usize = 2_048;
-/// Code with which an agent gives up a stream.
+/// Reset code of a stream that the agent aborts.
 const FAILED_CODE: VarInt = VarInt::from_u32(3);
 
-/// Sends frames of an answer.
+/// Sends an answer's frames to the entry's stream.
 pub type ReplySender = mpsc::Sender<AgentFrame>;
 
-/// Takes entries' connections.
+/// Accepts entries' connections and serves their streams.
 #[derive(Clone)]
 pub struct StreamServer {
     endpoint: Endpoint,
@@ -47,12 +47,12 @@
 }
 
 impl StreamServer {
-    /// Serves on a bound endpoint.
+    /// Creates a server on a bound endpoint; `run` accepts the connections.
     pub fn new(endpoint: Endpoint, commands: CommandSender, logger: Logger) -> Self {
         Self { endpoint, commands, logger, open_streams: Arc::default() }
     }
 
-    /// Accepts connections for as long as the endpoint lives.
+    /// Accepts connections until the endpoint is closed.
     pub async fn run(&self) {
         while let Some(incoming) = self.endpoint.accept().await {
             if self.endpoint.open_connections() >= CONNECTION_LIMIT {
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Waits until no stream is open.
+    /// Waits until no stream is open, and closes the endpoint.
     pub async fn wait_idle(&self) {
         while self.open_streams.load(Ordering::Acquire) > 0 {
             sleep(Duration::from_millis(5)).await;
         }
-        // Lets the last acknowledgements go out.
+        // Waits until the last acknowledgements are sent.
         self.endpoint.close(VarInt::from_u32(0), b"stopped");
         self.endpoint.wait_idle().await;
     }
@@ -129,7 +129,7 @@
             let _ = send.reset(FAILED_CODE);
         } else {
             let _ = send.finish();
-            // Keeps the stream until the entry has all of it.
+            // Keeps the stream open until the entry has received all of it.
             let _ = send.stopped().await;
         }
         result
@@ -142,8 +142,8 @@
         receiver.await.map_err(|_| eyre!("the decisions duty ended"))
     }
 
-    /// Follows what the entry says after its offer. It only returns with an error: the entry keeps
-    /// its side open until it has the answer, so an end means that it gave up.
+    /// Handles the frames that follow an offer. Returns only with an error: the entry keeps its side open
+    /// until it has the answer, so an end of the stream means that it gave up.
     async fn read_releases(
         &self,
         receive: &mut RecvStream,
@@ -166,7 +166,7 @@
     replies: &mut mpsc::Receiver<AgentFrame>,
 ) -> Result<()> {
     let mut batch = Vec::with_capacity(REPLY_DEPTH);
-    // Frames that wait together leave together: a packet costs far more than a frame.
+    // All waiting frames are written at once, because a packet costs far more than a frame.
     while replies.recv_many(&mut batch, REPLY_DEPTH).await > 0 {
         let mut bytes = Vec::new();
         for frame in &batch {
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -1,4 +1,4 @@
-//! The targets duty of an agent: requests and orders to the one target.
+//! The targets duty of an agent: sends requests and orders to the target and forwards its answers.
 
 use super::{
     crashes::{self, CrashRecorder},
@@ -38,9 +38,9 @@
     task::spawn_local,
 };
 
-/// Largest answer that is read whole to be checked.
+/// Largest answer, in bytes, that is buffered to check its model.
 const ANSWER_LIMIT: usize = 16 << 20;
-/// Headers of a target's answer that end at this hop.
+/// Hop-by-hop headers of a target's answer, and its length; they are not forwarded.
 const DROPPED_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -65,13 +65,13 @@
 /// A request to run.
 #[derive(Debug)]
 pub struct RunJob {
-    /// Its number.
+    /// Number of the request at this agent.
     pub work: WorkId,
-    /// What to send.
+    /// The entry's offer, with the head and body to send.
     pub offer: Arc<OfferFrame>,
-    /// Where its answer goes.
+    /// Channel to the entry's stream, for the answer.
     pub replies: ReplySender,
-    /// Time that it waited for its adapter.
+    /// Time for which the request waited for its adapter.
     pub load_stall: Duration,
     /// Resolves when the request is to be cancelled.
     pub cancelled: oneshot::Receiver<()>,
@@ -79,19 +79,19 @@
 
 /// How a request at the target ended.
 enum RunEnd {
-    /// The whole answer was passed on; `End` is still to be sent.
+    /// The whole answer was forwarded; the `End` frame is still to be sent.
     Answered,
-    /// No connection came about, so nothing was run.
+    /// No connection could be opened, so the request was not run.
     Unsent,
-    /// The engine does not hold the adapter, so nothing was run.
+    /// The engine does not hold the adapter, so the request was not run.
     AdapterMissing,
-    /// It failed after it may have begun.
+    /// The request failed, and may have run in part.
     Failed(String),
-    /// The entry went away.
+    /// The entry gave up the request or disconnected.
     Cancelled,
 }
 
-/// What the jobs share.
+/// State shared by all jobs.
 #[derive(Clone)]
 pub(super) struct TargetContext {
     pub(super) settings: Arc<AgentSettings>,
@@ -133,7 +133,7 @@
     }
 }
 
-/// A plain service has no health call that all share, so that it takes connections has to do.
+/// Checks a plain service by opening connections: services have no health call in common.
 async fn watch_service(context: TargetContext) {
     let mut up = false;
     loop {
@@ -191,7 +191,7 @@
     let _ = replies.send(frame).await;
 }
 
-/// Passes one answer on.
+/// Forwards the answer to one request.
 struct AnswerForwarder<'a> {
     context: &'a TargetContext,
     offer: &'a OfferFrame,
@@ -243,7 +243,7 @@
         request.body(Full::new(self.offer.body.clone())).wrap_err("build request")
     }
 
-    /// Passes an answer on as it comes.
+    /// Forwards an answer without a check, chunk by chunk.
     async fn forward_body(
         &self,
         reply: Response<Incoming>,
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    /// Passes events on, whole ones only, each checked for its model.
+    /// Forwards an event stream. Only complete lines are sent, each after a check of its model.
     async fn forward_events(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
         let mut scanner = EventScanner::new(key.to_string());
         let (parts, mut body) = reply.into_parts();
@@ -278,7 +278,7 @@
         Ok(())
     }
 
-    /// Reads an answer whole, checks its model and passes it on.
+    /// Buffers an answer, checks its model and forwards it.
     async fn forward_checked(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
         let (parts, body) = reply.into_parts();
         let limited = http_body_util::Limited::new(body, ANSWER_LIMIT);
@@ -307,18 +307,18 @@
         self.send(AgentFrame::Chunk { request: self.offer.request, data }).await
     }
 
-    /// A non-idempotent request runs on when its entry has gone, so that its effect is whole; only
-    /// its answer is lost.
+    /// Sends a frame to the entry. A non-idempotent request goes on when its entry has disconnected, so
+    /// that it takes effect completely; only its answer is lost.
     async fn send(&self, frame: AgentFrame) -> Result<()> {
         match self.replies.send(frame).await {
             Ok(()) => Ok(()),
             Err(_) if !self.offer.idempotent => Ok(()),
-            Err(_) => Err(eyre!("the entry went away")),
+            Err(_) => Err(eyre!("the entry disconnected")),
         }
     }
 }
 
-/// For how long a target that is unavailable wants no requests, if it says so in seconds.
+/// The `Retry-After` time of a 503 answer, if it is given in seconds.
 fn requested_backoff(reply: &Response<Incoming>) -> Option<Duration> {
     let is_unavailable = reply.status() == StatusCode::SERVICE_UNAVAILABLE;
     let header = reply.headers().get(RETRY_AFTER).filter(|_| is_unavailable)?;
--- a/crates/daemon/src/options.rs
+++ b/crates/daemon/src/options.rs
@@ -1,4 +1,4 @@
-//! Arguments, and the checked settings made from them.
+//! Command-line arguments, and the checked settings made from them.
 
 pub mod arguments;
 pub mod constants;
--- a/crates/daemon/src/options/arguments.rs
+++ b/crates/daemon/src/options/arguments.rs
@@ -1,19 +1,20 @@
-//! Arguments and environment variables, as written.
+//! Arguments and environment variables, before they are checked.
 
 use bpaf::{Args, Bpaf, ParseFailure};
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
-/// Width of help texts.
+/// Width of help texts, in columns.
 const HELP_WIDTH: usize = 100;
 
-/// Serves LoRA adapters: `entry` takes callers' requests, `agent` speaks for one target.
+/// Serves LoRA adapters: `entry` and `router` take callers' requests; `agent` and `loader` run beside
+/// one target.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, generate(daemon_arguments))]
 pub enum DaemonArguments {
     /// Takes callers' HTTP requests and offers them to agents
     #[bpaf(command("entry"))]
     Entry(#[bpaf(external(entry_arguments))] EntryArguments),
-    /// Speaks for the one target beside it: an engine or a plain service
+    /// Proxies requests and orders to the one target beside it: an engine or a plain service
     #[bpaf(command("agent"))]
     Agent(#[bpaf(external(agent_arguments))] AgentArguments),
     /// Takes callers' HTTP requests and calls targets directly
@@ -24,7 +25,7 @@
     Loader(#[bpaf(external(site_arguments))] SiteArguments),
 }
 
-/// What routers and loaders are told; the rest stands in their settings file.
+/// Arguments of routers and loaders; all other settings are in their settings file.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(site_arguments))]
 pub struct SiteArguments {
@@ -47,7 +48,7 @@
     pub check: bool,
 }
 
-/// What both roles are told.
+/// Arguments that entries and agents have in common.
 #[derive(Clone, Debug, Bpaf)]
 pub struct CommonArguments {
     /// Name of this process; for an agent, of its target and host
@@ -85,57 +86,57 @@
     pub check: bool,
 }
 
-/// What an entry is told.
+/// Arguments of an entry.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(entry_arguments))]
 pub struct EntryArguments {
-    /// What both roles are told.
+    /// Arguments that entries and agents have in common.
     #[bpaf(external(common_arguments))]
     pub common: CommonArguments,
     /// Address for callers
     #[bpaf(long, argument("ADDR"), env("PLANTAIN_LISTEN"))]
     pub listen: SocketAddr,
-    /// Address for agents (UDP), to ask this entry for load permits
+    /// Address for agents (UDP) that request load permits from this entry
     #[bpaf(long("peer-listen"), argument("ADDR"), env("PLANTAIN_PEER_LISTEN"))]
     pub peer_listen: SocketAddr,
-    /// Peer address of another entry, to join from when the platform is out at the start; give it
-    /// once for each of several, best in different zones
+    /// Peer address of another entry, from which this one gets its state if the platform is unavailable
+    /// at the start; may be given several times, best for entries in different zones
     #[bpaf(long, argument("ADDR"))]
     pub peer: Vec<SocketAddr>,
-    /// Loads a second that the weight store allows (default: 4)
+    /// Loads per second that the weight store allows (default: 4)
     #[bpaf(long("store-rate"), argument("RATE"), env("PLANTAIN_STORE_RATE"))]
     pub store_rate: Option<f64>,
-    /// Loads at once that the weight store serves at full speed (default: 3)
+    /// Concurrent loads that the weight store serves at full speed (default: 3)
     #[bpaf(long("store-loads"), argument("COUNT"), env("PLANTAIN_STORE_LOADS"))]
     pub store_loads: Option<usize>,
-    /// Which load goes first: fifo or urgency (default: urgency)
+    /// Order in which waiting loads get permits: fifo or urgency (default: urgency)
     #[bpaf(long("load-order"), argument("ORDER"), env("PLANTAIN_LOAD_ORDER"), fallback("urgency".into()))]
     pub load_order: String,
     /// How targets are chosen: random, least-outstanding, hash or cost (default: cost)
     #[bpaf(long, argument("POLICY"), env("PLANTAIN_POLICY"), fallback("cost".into()))]
     pub policy: String,
-    /// Largest body of a request in bytes (default: 8388608)
+    /// Largest body of a request, in bytes (default: 8388608)
     #[bpaf(long("body-limit"), argument("BYTES"), env("PLANTAIN_BODY_LIMIT"))]
     pub body_limit: Option<usize>,
-    /// Connections held at once (default: 4096)
+    /// Largest number of open connections (default: 4096)
     #[bpaf(long, argument("COUNT"), env("PLANTAIN_CONNECTIONS"))]
     pub connections: Option<usize>,
-    /// Requests worked on at once (default: 2048)
+    /// Largest number of concurrent requests (default: 2048)
     #[bpaf(long, argument("COUNT"), env("PLANTAIN_REQUESTS"))]
     pub requests: Option<usize>,
 }
 
-/// What an agent is told.
+/// Arguments of an agent.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(agent_arguments))]
 pub struct AgentArguments {
-    /// What both roles are told.
+    /// Arguments that entries and agents have in common.
     #[bpaf(external(common_arguments))]
     pub common: CommonArguments,
-    /// Address for entries (UDP); the slot's fixed port
+    /// Address for entries (UDP); its port is the slot's and does not change
     #[bpaf(long, argument("ADDR"), env("PLANTAIN_LISTEN"))]
     pub listen: SocketAddr,
-    /// Address at which entries reach the slot, if another than --listen
+    /// Address at which entries reach the slot, if it differs from --listen
     #[bpaf(long, argument("ADDR"), env("PLANTAIN_ANNOUNCE"))]
     pub announce: Option<SocketAddr>,
     /// Address of the target's HTTP API
@@ -147,26 +148,26 @@
     /// Service name, if the target is a plain service
     #[bpaf(long, argument("NAME"), env("PLANTAIN_SERVICE"))]
     pub service: Option<String>,
-    /// Address of the weight store; needed for an engine
+    /// Address of the weight store; required for an engine
     #[bpaf(long("weight-store"), argument("ADDR"), env("PLANTAIN_WEIGHT_STORE"))]
     pub weight_store: Option<SocketAddr>,
-    /// Adapters that the engine holds at once (default: 8)
+    /// Largest number of adapters that the engine holds (default: 8)
     #[bpaf(long, argument("COUNT"), env("PLANTAIN_SLOTS"))]
     pub slots: Option<usize>,
-    /// Requests that the target runs at once (default: 16)
+    /// Largest number of requests that the target runs concurrently (default: 16)
     #[bpaf(long("batch-limit"), argument("COUNT"), env("PLANTAIN_BATCH_LIMIT"))]
     pub batch_limit: Option<u32>,
-    /// Loads that the engine performs at once (default: 2)
+    /// Largest number of loads that the engine performs concurrently (default: 2)
     #[bpaf(long("load-limit"), argument("COUNT"), env("PLANTAIN_LOAD_LIMIT"))]
     pub load_limit: Option<usize>,
-    /// Loads a second that this agent may order when no entry grants permits (default: 0.3)
+    /// Loads per second that this agent may order while no entry grants permits (default: 0.3)
     #[bpaf(long("load-rate"), argument("RATE"), env("PLANTAIN_LOAD_RATE"))]
     pub load_rate: Option<f64>,
-    /// Which adapter goes when slots are full: lru or worth (default: worth)
+    /// Which adapter is evicted when all slots are used: lru or worth (default: worth)
     #[bpaf(long, argument("POLICY"), env("PLANTAIN_EVICTION"), fallback("worth".into()))]
     pub eviction: String,
-    /// The engine refuses orders with an old fencing number; without this flag, the agent lets a
-    /// lease's time pass before its first order
+    /// The engine refuses orders with an old fencing number; without this flag, an agent that replaces
+    /// one on another host waits for the time of a lease before its first order
     #[bpaf(long("engine-checks-fencing"), switch)]
     pub engine_checks_fencing: bool,
 }
@@ -188,7 +189,7 @@
         })
     }
 
-    /// Whether only a check of the settings is wanted.
+    /// Whether `--check` is given: check the settings and exit.
     pub fn is_check(&self) -> bool {
         match self {
             Self::Entry(arguments) => arguments.common.check,
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings.
+//! Settings after their check.
 
 use super::{
     arguments::{AgentArguments, CommonArguments, DaemonArguments, EntryArguments},
@@ -17,20 +17,20 @@
 use slog::Level;
 use std::{net::SocketAddr, sync::Arc};
 
-/// Settings of either role.
+/// Settings of the role that the process runs.
 #[derive(Clone, Debug)]
 pub enum DaemonSettings {
-    /// Of an entry.
+    /// Settings of an entry.
     Entry(EntrySettings),
-    /// Of an agent.
+    /// Settings of an agent.
     Agent(AgentSettings),
-    /// Of a router.
+    /// Settings of a router.
     Router(SiteSettings<RouterFile>),
-    /// Of a loader.
+    /// Settings of a loader.
     Loader(SiteSettings<LoaderFile>),
 }
 
-/// Settings that both roles have.
+/// Settings that entries and agents have in common.
 #[derive(Clone, Debug)]
 pub struct CommonSettings {
     /// Name of this process.
@@ -52,30 +52,30 @@
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// What both roles have.
+    /// Settings that entries and agents have in common.
     pub common: CommonSettings,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address for agents that ask for load permits.
+    /// Address for agents that request load permits.
     pub peer_listen: SocketAddr,
-    /// Other entries to join from in an outage.
+    /// Other entries that provide the state at a start without the platform.
     pub peers: Vec<SocketAddr>,
-    /// What the weight store allows.
+    /// Rate and concurrency of loads from the weight store, and the order of waiting loads.
     pub permits: PermitLimits,
-    /// How targets are chosen.
+    /// Policy that chooses a target for each request.
     pub policy: RoutingPolicy,
     /// Largest body of a request, in bytes.
     pub body_limit: usize,
-    /// Connections held at once.
+    /// Largest number of open connections.
     pub connections: usize,
-    /// Requests worked on at once.
+    /// Largest number of concurrent requests.
     pub requests: usize,
 }
 
 /// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// What both roles have.
+    /// Settings that entries and agents have in common.
     pub common: CommonSettings,
     /// Address for entries.
     pub listen: SocketAddr,
@@ -85,24 +85,24 @@
     pub target: SocketAddr,
     /// What the target serves.
     pub kind: TargetKind,
-    /// Address of the weight store; the listen address of a service's agent is never asked for it.
+    /// Address of the weight store; absent if the target is a service.
     pub weight_store: Option<SocketAddr>,
-    /// Adapters that the engine holds at once.
+    /// Largest number of adapters that the engine holds.
     pub slots: usize,
-    /// Requests that the target runs at once.
+    /// Largest number of requests that the target runs concurrently.
     pub batch_limit: u32,
-    /// Loads that the engine performs at once.
+    /// Largest number of loads that the engine performs concurrently.
     pub load_limit: usize,
-    /// Loads a second that this agent may order by itself.
+    /// Loads per second that this agent may order while no entry grants permits.
     pub load_rate: f64,
-    /// Which adapter goes when slots are full.
+    /// Policy that chooses the adapter to evict when all slots are used.
     pub eviction: EvictionPolicy,
     /// Whether the engine refuses orders with an old fencing number.
     pub engine_checks_fencing: bool,
 }
 
 impl DaemonSettings {
-    /// Checks arguments; the error names the flag and what it expects.
+    /// Checks arguments. The error names the flag and the values that it accepts.
     pub fn new(arguments: DaemonArguments) -> Result<Self, String> {
         match arguments {
             DaemonArguments::Entry(arguments) => EntrySettings::new(&arguments).map(Self::Entry),
