--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,12 +1,12 @@
-//! Time since the process started, on a clock that goes on while the host is suspended.
+//! Time since the process started, on a clock that also advances while the host is suspended.
 
 use nix::time::{ClockId, clock_gettime};
 use plantain_core::ids::Timestamp;
 use std::{sync::OnceLock, time::Duration};
 
-/// A process that was suspended must see that time has passed: on the monotonic clock, a deadline
-/// that passed during the suspension would still lie ahead, and work would be sent on for callers who
-/// have long gone.
+/// Time since the host's boot, including suspension. The monotonic clock stops during a suspension, so a
+/// deadline that passed in it would still be in the future, and calls would be forwarded for callers that
+/// have disconnected.
 fn boot_time() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -1,4 +1,4 @@
-//! A thread for each duty, each with a runtime of its own.
+//! Duties: the long-running tasks of a process. Each has a thread and a runtime of its own.
 
 use eyre::{Result, WrapErr};
 use std::{
@@ -26,7 +26,7 @@
         .wrap_err_with(|| format!("start thread {name}"))
 }
 
-/// Turns true on SIGTERM or SIGINT. Call on a runtime.
+/// Returns a channel whose value becomes true on SIGTERM or SIGINT. Must be called on a runtime.
 pub fn stop_signal() -> Result<watch::Receiver<bool>> {
     let mut terminate = signal(SignalKind::terminate()).wrap_err("listen for SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("listen for SIGINT")?;
@@ -37,7 +37,7 @@
             _ = interrupt.recv() => {}
         }
         sender.send_replace(true);
-        // Held so that receivers never see a closed channel in place of a stop.
+        // Keeps the sender, so that receivers never see a closed channel.
         std::future::pending::<()>().await;
     });
     Ok(receiver)
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The daemon of plantainroute.
 //!
-//! Where targets may only be reached through their agents, `entry` takes callers' requests and `agent`
-//! speaks for one target. Where targets may be called directly, `router` takes callers' requests and
-//! `loader` orders loads at one engine.
+//! Where targets can only be reached through their agents, `entry` takes callers' requests and `agent`
+//! proxies those for one target. Where targets can be called directly, `router` takes callers' requests
+//! and `loader` orders loads and unloads at one engine.
 
 pub mod agent;
 mod clock;
@@ -20,10 +20,10 @@
 use options::{DaemonArguments, DaemonSettings};
 use std::process::ExitCode;
 
-/// Exit status of a daemon whose arguments or settings are wrong.
+/// Exit status if the arguments or settings are invalid.
 const USAGE_STATUS: u8 = 2;
 
-/// Reads arguments, checks settings and runs the role until it is told to stop.
+/// Reads the arguments, checks the settings and runs the role until a stop signal arrives.
 pub fn run() -> ExitCode {
     let arguments = match DaemonArguments::read() {
         Ok(arguments) => arguments,
--- a/crates/daemon/src/options/constants.rs
+++ b/crates/daemon/src/options/constants.rs
@@ -37,7 +37,7 @@
 pub const STORE_RATE: f64 = 4.0;
 /// Concurrent loads that the weight store serves at full speed, unless set.
 pub const STORE_LOADS: usize = 3;
-/// Duration of an agent's lease of its slot. An agent that lost the slot stops within this time.
+/// Duration of an agent's lease of its slot.
 pub const LEASE: Duration = Duration::from_secs(30);
 /// Pause between polls of a target's health and load.
 pub const POLL_PAUSE: Duration = Duration::from_millis(250);
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -85,7 +85,7 @@
     pub target: SocketAddr,
     /// What the target serves.
     pub kind: TargetKind,
-    /// Address of the weight store; absent if the target is a service.
+    /// Address of the weight store: always set for an engine, unused for a service.
     pub weight_store: Option<SocketAddr>,
     /// Largest number of adapters that the engine holds.
     pub slots: usize,
--- a/crates/daemon/src/options/site.rs
+++ b/crates/daemon/src/options/site.rs
@@ -1,4 +1,4 @@
-//! Settings of routers and loaders: one JSON file, read at the start and again when it changes.
+//! Settings of routers and loaders: one JSON file, read at the start and whenever it changes.
 
 use super::arguments::SiteArguments;
 use eyre::{Result, WrapErr, ensure};
@@ -17,32 +17,32 @@
     time::Duration,
 };
 
-/// What a site's operators bound; all rates and spans are theirs.
+/// Limits set by the site's operators: times for a drain and a stop, and rates of retries and customers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SiteBounds {
-    /// Milliseconds from a target's leaving to the last call that may reach it.
+    /// Milliseconds from the start of a target's drain to the last call that may reach it.
     pub drain_ms: u64,
-    /// Seconds from a stop signal to the kill.
+    /// Seconds from a stop signal until the process is killed.
     pub stop_s: f64,
-    /// Repeats for each call, over the whole fleet.
+    /// Retries allowed per call, as a ratio over the whole fleet.
     pub repeat_ratio: f64,
-    /// Seconds over which repeats are counted.
+    /// Window, in seconds, in which retries are counted.
     pub repeat_window_s: f64,
-    /// Repeats in a window beyond the ratio, over the whole fleet.
+    /// Retries allowed per window in addition to the ratio, over the whole fleet.
     pub repeat_slack: f64,
-    /// How customers' limits are judged.
+    /// How closely customers' limits are enforced.
     #[serde(default)]
     pub limits: LimitBounds,
 }
 
-/// How customers' limits are judged.
+/// How closely customers' limits are enforced.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitBounds {
-    /// Seconds over which use is counted.
+    /// Window, in seconds, in which usage is counted.
     pub window_s: f64,
-    /// Part of a limit by which the whole fleet may exceed it in a window.
+    /// Fraction of a limit by which the whole fleet may exceed it per window.
     pub overage: f64,
-    /// Units beyond that, over the whole fleet.
+    /// Units that the whole fleet may use per window in addition to `overage`.
     pub slack: f64,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl LimitBounds {
-    /// What limits are judged by.
+    /// The terms by which limits are enforced.
     pub fn terms(&self) -> LimitTerms {
         LimitTerms {
             window: Duration::from_secs_f64(self.window_s),
@@ -75,7 +75,7 @@
 }
 
 impl SiteBounds {
-    /// What the fleet may repeat.
+    /// Retries that the fleet may make.
     pub fn allowance(&self) -> RetryAllowance {
         RetryAllowance {
             ratio: self.repeat_ratio,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Time from a stop signal to the kill.
+    /// Time from a stop signal until the process is killed.
     pub fn stop_time(&self) -> Duration {
         Duration::from_secs_f64(self.stop_s)
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Settings of a router. Fields that are not known here are left for later versions.
+/// Settings of a router. Unknown fields are ignored, so that a file may be written for a later version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterFile {
     /// Name of this process.
@@ -112,43 +112,43 @@
     pub zones: BTreeMap<ZoneName, RegionName>,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address at which the balancer asks whether to send connections.
+    /// Address at which the load balancer checks readiness.
     pub ready: SocketAddr,
     /// Address for other routers.
     pub peer_listen: SocketAddr,
-    /// Addresses of other routers, some of which may be gone.
+    /// Addresses of other routers; some of them may no longer exist.
     pub peers: Vec<SocketAddr>,
-    /// Port of loaders and of this router's link to them, the same on all hosts.
+    /// Port of loaders, and of this router's link to them; the same on all hosts.
     pub link_port: u16,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What the operators bound.
+    /// Limits set by the operators.
     pub bounds: SiteBounds,
 }
 
 /// Settings of a loader.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoaderFile {
-    /// Name of this process, and of its host as the holder of the engine.
+    /// Name of this process, and of its host.
     pub name: Arc<str>,
     /// Availability zone of this host.
     pub zone: Arc<str>,
     /// This host's address.
     pub host: IpAddr,
-    /// Port for routers, the same on all hosts.
+    /// Port for routers; the same on all hosts.
     pub link_port: u16,
     /// Address of the engine beside this process.
     pub engine: SocketAddr,
-    /// What the operators bound.
+    /// Limits set by the operators.
     pub bounds: SiteBounds,
 }
 
-/// A settings file that can be checked.
+/// A settings file whose values are checked after it is decoded.
 pub trait SiteFile: for<'a> Deserialize<'a> {
-    /// Says what is wrong with the values.
+    /// Returns an error that names the first invalid value.
     fn check(&self) -> Result<()>;
 
-    /// Reads and checks a file.
+    /// Reads, decodes and checks a file. The error names the file.
     fn read(path: &Path) -> Result<Self> {
         let text = fs::read(path).wrap_err_with(|| format!("read settings {}", path.display()))?;
         let settings: Self = serde_json::from_slice(&text)
@@ -171,21 +171,21 @@
     }
 }
 
-/// Settings of a role whose settings stand in a file.
+/// Settings of a router or loader.
 #[derive(Clone, Debug)]
 pub struct SiteSettings<T> {
-    /// What the file holds.
+    /// Content of the file at the start.
     pub file: Arc<T>,
-    /// The file, which may change.
+    /// Path of the file, which may change while the process runs.
     pub path: PathBuf,
-    /// Address of the admin pages.
+    /// Address of the admin server.
     pub metrics: SocketAddr,
     /// Least important log lines to write.
     pub log_level: Level,
 }
 
 impl<T: SiteFile> SiteSettings<T> {
-    /// Reads and checks the file; the error names it and what is wrong.
+    /// Reads and checks the file. The error names the file and the fault.
     pub fn new(arguments: SiteArguments) -> Result<Self, String> {
         let level = &arguments.log_level;
         let log_level =
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the process runs: on SIGHUP, and when their file is seen to differ.
+//! Reloads the settings file while the process runs: on SIGHUP, and when a poll finds it changed.
 
 use crate::options::site::{SiteFile, SiteSettings};
 use eyre::{Result, WrapErr};
@@ -11,11 +11,11 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Pause between looks at the file, which may change without a signal.
+/// Pause between polls of the file, which may change without a signal.
 const POLL_PAUSE: Duration = Duration::from_secs(2);
 
-/// Reads the settings again when they change; wrong ones are logged and leave the last good ones in
-/// force.
+/// Returns a channel with the current settings, which is updated when the file changes. Invalid settings
+/// are logged once, and the last valid ones stay active.
 pub(crate) fn follow<T>(
     settings: &SiteSettings<T>,
     logger: Logger,
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus text, and the admin server.
+//! Metrics in Prometheus' text format, and the admin server that shows them.
 
 pub mod names;
 
@@ -22,26 +22,26 @@
 };
 use tokio::{net::TcpListener, sync::watch, time::interval};
 
-/// Connections that the admin server holds.
+/// Largest number of connections to the admin server.
 const ADMIN_CONNECTIONS: usize = 64;
-/// Pause between upkeeps of the histograms.
+/// Pause between two runs of the recorder's upkeep, which drains the histograms.
 const UPKEEP_PAUSE: Duration = Duration::from_secs(5);
-/// Bounds of histograms of seconds.
+/// Bucket bounds, in seconds, of metrics named `*_seconds`.
 const SECOND_BOUNDS: [f64; 16] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.8, 1.2, 1.9, 3.0, 5.0, 10.0, 30.0];
-/// Bounds of histograms of shares.
+/// Bucket bounds of metrics named `*_ratio`.
 const RATIO_BOUNDS: [f64; 10] = [0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0];
 
-/// What the admin server shows of a role.
+/// State of a role for the admin server.
 pub trait StatusSource: Clone + Send + Sync + 'static {
-    /// Whether the balancer may send work.
+    /// Whether the load balancer may send work, for `/readyz`.
     fn is_ready(&self) -> bool;
 
-    /// The status page.
+    /// Content of `/status`.
     fn status(&self) -> impl Future<Output = Value> + Send;
 }
 
-/// Installs the recorder of all metrics.
+/// Installs the recorder for the metrics of the whole process.
 pub fn install() -> Result<PrometheusHandle> {
     PrometheusBuilder::new()
         .set_buckets_for_metric(Matcher::Suffix("_seconds".into()), &SECOND_BOUNDS)
@@ -52,7 +52,7 @@
         .wrap_err("install metrics recorder")
 }
 
-/// Status of a role whose settings stand in a file: its readiness alone.
+/// Status of a router or loader: only its readiness.
 #[derive(Clone)]
 struct SiteStatus(Arc<AtomicBool>);
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Starts the thread that serves a router's or loader's admin pages until the process ends.
+/// Starts the admin server of a router or loader on a thread of its own, until the process ends.
 pub async fn start_site(
     address: SocketAddr,
     metrics: PrometheusHandle,
@@ -77,7 +77,7 @@
     let listener = listener.into_std().wrap_err("hand over metrics address")?;
     let logger = logger.clone();
     duty::start("telemetry", move || async move {
-        // Nothing stops this duty before the process ends.
+        // The sender is kept and never used, so this duty runs until the process ends.
         let (_keep, stopping) = watch::channel(false);
         match TcpListener::from_std(listener) {
             Ok(listener) => run(listener, metrics, SiteStatus(is_ready), stopping).await,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Serves the admin pages until `stopping`.
+/// Runs the admin server until `stopping` turns true.
 pub async fn run<S: StatusSource>(
     listener: TcpListener,
     metrics: PrometheusHandle,
--- a/crates/daemon/src/telemetry/names.rs
+++ b/crates/daemon/src/telemetry/names.rs
@@ -1,6 +1,6 @@
 //! Names of the metrics; docs/OPERATIONS.md describes each.
 
-/// Requests ended, by kind and outcome.
+/// Ended requests, by kind and outcome.
 pub const REQUESTS: &str = "plantain_requests_total";
 /// Time from a request's head to the end of its answer.
 pub const REQUEST_SECONDS: &str = "plantain_request_seconds";
@@ -10,9 +10,9 @@
 pub const LOAD_STALL_SECONDS: &str = "plantain_load_stall_seconds";
 /// Requests in flight at an entry.
 pub const IN_FLIGHT: &str = "plantain_in_flight";
-/// Refusals by reason.
+/// Refused requests, by reason.
 pub const REFUSALS: &str = "plantain_refusals_total";
-/// Offers after the first.
+/// Offers of a request after its first.
 pub const RETRIES: &str = "plantain_retries_total";
 /// Share of the batch in use, sampled while the target runs anything.
 pub const BATCH_FILL_RATIO: &str = "plantain_batch_fill_ratio";
@@ -20,15 +20,15 @@
 pub const BATCH_FILL: &str = "plantain_batch_fill";
 /// Requests running at the target.
 pub const RUNNING: &str = "plantain_running";
-/// Requests accepted and waiting.
+/// Requests that the agent accepted and that wait for their start.
 pub const QUEUED: &str = "plantain_queued";
-/// Loads ended, by result.
+/// Ended loads, by result.
 pub const LOADS: &str = "plantain_loads_total";
-/// Time that loads took.
+/// Duration of successful loads.
 pub const LOAD_SECONDS: &str = "plantain_load_seconds";
 /// Evictions ordered.
 pub const EVICTIONS: &str = "plantain_evictions_total";
-/// Loads of adapters evicted within the last seconds.
+/// Loads of adapters that were evicted a few seconds before.
 pub const THRASH: &str = "plantain_thrash_total";
 /// Load permits granted by this entry.
 pub const PERMITS: &str = "plantain_permits_total";
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -1,4 +1,4 @@
-//! Following the platform's objects of one kind, through outages.
+//! Watches the platform's objects of one kind, with retries during outages.
 
 use crate::telemetry::names;
 use metrics::counter;
@@ -16,7 +16,7 @@
 /// Longest pause after failed platform calls.
 const FAILED_PAUSE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Pauses between attempts at the platform, jittered so that a fleet does not come back at once.
+/// Pauses between failed platform calls, with jitter so that a fleet does not retry at the same time.
 pub(crate) fn platform_backoff() -> RetryBackoff {
     RetryBackoff::new(FAILED_PAUSE, FAILED_PAUSE_LIMIT)
 }
@@ -27,8 +27,8 @@
     warn!(logger, "platform call failed"; "step" => step, "error" => %failure);
 }
 
-/// A watch over one kind. A waiting watch counts as one call, so that following costs the platform
-/// little while nothing changes.
+/// A watch of all objects of one kind. It uses long polling: a waiting watch counts as one call, so that
+/// the platform has little load while nothing changes.
 pub(crate) struct KindWatch<T> {
     platform: PlatformClient,
     kind: &'static str,
@@ -39,17 +39,17 @@
 }
 
 impl<T: DeserializeOwned> KindWatch<T> {
-    /// Starts before the first look.
+    /// Creates a watch that has queried nothing yet.
     pub(crate) fn new(platform: PlatformClient, kind: &'static str, logger: Logger) -> Self {
         let backoff = platform_backoff();
         Self { platform, kind, revision: None, backoff, logger, value: PhantomData }
     }
 
-    /// The objects that are there at the first look, and after that those that changed; empty when
-    /// a wait has ended without a change. Tries again until the platform answers.
+    /// Returns all objects on the first call, and on later calls those that changed since; empty if a wait
+    /// ended without a change. Retries until the platform answers.
     pub(crate) async fn next(&mut self) -> Vec<ObjectRecord<T>> {
         loop {
-            // The first look must not wait for a change.
+            // The first query lists the objects, so that it does not wait for a change.
             let list = match self.revision {
                 None => self.platform.list(self.kind).await,
                 Some(revision) => self.platform.watch(self.kind, revision).await,
--- a/crates/daemon/tests/daemon/frames.rs
+++ b/crates/daemon/tests/daemon/frames.rs
@@ -1,4 +1,4 @@
-//! The codec of the links between processes, against bytes from anywhere.
+//! Tests of the codec for links between processes, also with random and damaged bytes.
 
 use plantain_core::protocol::{AgentFrame, EntryFrame, TargetReport};
 use plantaind::link::frames::{decode, encode};
@@ -10,15 +10,15 @@
 }
 
 #[test]
-fn frames_survive_the_codec() {
+fn encoded_frame_decodes_to_the_same_frame() {
     let bytes = encode(&frame()).expect("encode");
     assert_eq!(decode::<AgentFrame>(&bytes[4..]).expect("decode"), frame());
 }
 
-/// Bytes that are no frame are refused; they never panic or make the reader take memory for lengths
-/// that they only claim.
+/// Guards against a decoder that panics on bytes that are no frame, or that allocates memory for a
+/// length that a frame declares but does not have.
 #[test]
-fn random_bytes_are_refused_or_read_without_harm() {
+fn decoding_random_bytes_never_panics() {
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
     fn property(bytes: Vec<u8>) -> bool {
         let _ = decode::<EntryFrame>(&bytes);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn damaged_frames_never_pass_for_whole_ones() {
+fn truncated_and_overlong_frames_are_rejected() {
     let bytes = encode(&frame()).expect("encode");
     let body = &bytes[4..];
     for length in 0..body.len() {
--- a/crates/daemon/tests/daemon/main.rs
+++ b/crates/daemon/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon by itself.
+//! Tests of the daemon without other processes.
 
 mod frames;
 mod settings;
--- a/crates/daemon/tests/daemon/settings.rs
+++ b/crates/daemon/tests/daemon/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked before anything starts.
+//! Tests of the command line: settings are checked before the daemon starts.
 
 use std::process::{Command, Output};
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn wrong_settings_end_with_one_line_and_status_2() {
+fn invalid_settings_exit_with_one_error_line_and_status_2() {
     let cases = [
         BadSetting { base: &[], added: &[], expected: "COMMAND" },
         BadSetting { base: &ENTRY[..13], added: &[], expected: "--listen" },
