--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -40,33 +40,40 @@
         let admin = server::bind(settings.common.admin, "admin address").await?;
         let endpoint = link::server_endpoint(settings.listen, &settings.common.keys)?;
         let mut stopping = duty::stop_signal()?;
-        let (commands, command_ring) = mpsc::channel(constants::RING_DEPTH);
-        let (jobs, job_ring) = mpsc::channel(constants::RING_DEPTH);
-        let (permits, permit_ring) = mpsc::channel(constants::RING_DEPTH);
+        let (commands, command_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (jobs, job_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (permits, permit_receiver) = mpsc::channel(constants::RING_DEPTH);
         let (entry_sender, entries) = watch::channel(Vec::new());
         let (epoch_sender, epoch) = watch::channel(0);
         let (ended_sender, ended) = watch::channel(false);
 
-        let (own, ring, log) = (settings.clone(), commands.clone(), logger.clone());
-        let taken = epoch.clone();
+        let (agent_settings, command_sender, log) =
+            (settings.clone(), commands.clone(), logger.clone());
+        let slot_epoch = epoch.clone();
         // Targets and streams share this thread, because answers pass straight from one to the other.
         // See docs/design/threads.md.
-        spawn_local(targets::run(own, job_ring, ring, taken, log));
-        let (own, ring, log) = (settings.clone(), commands.clone(), logger.clone());
+        spawn_local(targets::run(agent_settings, job_receiver, command_sender, slot_epoch, log));
+        let (agent_settings, command_sender, log) =
+            (settings.clone(), commands.clone(), logger.clone());
         let stop = stopping.clone();
         let senders = platform::PlatformSenders { epoch: epoch_sender, entries: entry_sender };
-        duty::start("platform", move || platform::run(own, ring, senders, stop, log))?;
-        let (own, ring, log) = (settings.clone(), commands.clone(), logger.clone());
-        duty::start("permits", move || permits::run(own, permit_ring, entries, ring, log))?;
+        duty::start("platform", move || {
+            platform::run(agent_settings, command_sender, senders, stop, log)
+        })?;
+        let (agent_settings, command_sender, log) =
+            (settings.clone(), commands.clone(), logger.clone());
+        duty::start("permits", move || {
+            permits::run(agent_settings, permit_receiver, entries, command_sender, log)
+        })?;
         let source = AgentStatus { commands: commands.clone(), epoch: epoch.clone() };
         let admin = admin.into_std().wrap_err("hand over admin address")?;
         duty::start("telemetry", move || async move {
             let admin = TcpListener::from_std(admin).expect("a bound listener");
             telemetry::run(admin, metrics, source, ended).await;
         })?;
-        let (own, log, taken) = (settings.clone(), logger.clone(), epoch.clone());
-        let rings = decisions::DecisionChannels { commands: command_ring, jobs, permits };
-        duty::start("decisions", move || decisions::run(own, rings, taken, log))?;
+        let (agent_settings, log, slot_epoch) = (settings.clone(), logger.clone(), epoch.clone());
+        let rings = decisions::DecisionChannels { commands: command_receiver, jobs, permits };
+        duty::start("decisions", move || decisions::run(agent_settings, rings, slot_epoch, log))?;
 
         info!(logger, "agent listens"; "step" => "start", "listen" => %settings.listen,
             "peer" => %settings.target);
--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -45,7 +45,7 @@
     started: Instant,
     ledger: RefCell<CrashLedger>,
     runs: RefCell<UnresolvedRuns>,
-    /// Crashes of the target so far; each starts another incarnation.
+    /// Detected ends of the target; each starts another incarnation.
     ends: Cell<u64>,
     is_probing: Cell<bool>,
     report_sender: watch::Sender<Arc<CrashReport>>,
@@ -154,14 +154,14 @@
 /// Writes the report to the agent's object whenever it changes, until the process ends.
 pub(super) async fn publish(
     platform: PlatformClient,
-    mut report_sender: watch::Receiver<Arc<CrashReport>>,
+    mut reports: watch::Receiver<Arc<CrashReport>>,
     logger: Logger,
 ) {
     let mut previous = None;
     let mut backoff = platform_backoff();
-    while report_sender.changed().await.is_ok() {
+    while reports.changed().await.is_ok() {
         loop {
-            let report = Arc::clone(&report_sender.borrow_and_update());
+            let report = Arc::clone(&reports.borrow_and_update());
             match write(&platform, &report, &mut previous).await {
                 Ok(()) => {
                     info!(logger, "crashes told"; "step" => "crashes",
--- a/crates/daemon/src/agent/decisions.rs
+++ b/crates/daemon/src/agent/decisions.rs
@@ -88,7 +88,7 @@
     },
     /// Return the state for the status page.
     Status(oneshot::Sender<Value>),
-    /// Accept no more work, and resolve the sender when all work has ended.
+    /// Accept no more work, and signal when all work has ended.
     Stop(oneshot::Sender<()>),
 }
 
@@ -111,7 +111,7 @@
     logger: Logger,
 }
 
-/// Runs until all senders are gone.
+/// Runs until all senders of commands are dropped.
 pub async fn run(
     settings: Arc<AgentSettings>,
     channels: DecisionChannels,
@@ -119,9 +119,11 @@
     logger: Logger,
 ) {
     // No command is handled before the slot is taken; offers wait in the channel until then.
-    let Ok(epoch) = epoch.wait_for(|epoch| *epoch > 0).await.map(|epoch| *epoch) else { return };
+    let Ok(slot_epoch) = epoch.wait_for(|epoch| *epoch > 0).await.map(|epoch| *epoch) else {
+        return;
+    };
     let DecisionChannels { mut commands, jobs, permits } = channels;
-    let mut duty = DecisionDuty::new(settings, jobs, permits, epoch, logger);
+    let mut duty = DecisionDuty::new(settings, jobs, permits, slot_epoch, logger);
     let mut ticks = interval(TICK_PAUSE);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -259,7 +261,7 @@
 
     fn tick(&mut self) {
         self.handle_event(AgentEvent::Tick);
-        self.update_gauges();
+        self.update_metrics();
         self.check_drained();
     }
 
@@ -325,7 +327,7 @@
         self.send_job(TargetJob::Run(job));
     }
 
-    /// Sends a job to the target. The channel cannot be full: the state machine keeps the outstanding jobs
+    /// Sends a job for the target. The channel is never full: the state machine keeps the outstanding jobs
     /// (the batch, the loads and one eviction) far below its capacity.
     fn send_job(&mut self, job: TargetJob) {
         if let Err(error) = self.jobs.try_send(job) {
@@ -333,7 +335,7 @@
         }
     }
 
-    /// Sends a permit job. The channel cannot be full: the state machine never requests more permits at once
+    /// Sends a permit job. The channel is never full: the state machine never requests more permits at once
     /// than the engine's limit of concurrent loads.
     fn send_permit_job(&self, job: PermitJob) {
         if let Err(error) = self.permits.try_send(job) {
@@ -341,7 +343,7 @@
         }
     }
 
-    fn update_gauges(&mut self) {
+    fn update_metrics(&mut self) {
         let fill = f64::from(self.state.running()) / f64::from(self.settings.batch_limit);
         gauge!(names::BATCH_FILL).set(fill);
         if self.state.running() > 0 {
--- a/crates/daemon/src/agent/permits.rs
+++ b/crates/daemon/src/agent/permits.rs
@@ -69,7 +69,7 @@
     logger: Logger,
 }
 
-/// Runs until all senders are gone.
+/// Handles jobs until all senders are dropped.
 pub async fn run(
     settings: Arc<AgentSettings>,
     mut jobs: mpsc::Receiver<PermitJob>,
--- a/crates/daemon/src/agent/platform.rs
+++ b/crates/daemon/src/agent/platform.rs
@@ -57,8 +57,8 @@
         holder: format!("{:016x}", rand::random::<u64>()),
         logger: logger.clone(),
     };
-    let epoch = slot.take().await;
-    senders.epoch.send_replace(epoch);
+    let slot_epoch = slot.take().await;
+    senders.epoch.send_replace(slot_epoch);
     let presets = PresetFollower {
         store: ConfigStore::new(platform.clone()),
         platform: platform.clone(),
@@ -66,7 +66,7 @@
         logger: logger.clone(),
     };
     let entries = EntryFollower { platform, entries: senders.entries, logger: logger.clone() };
-    let lease = LeaseChecker { slot: slot.clone(), epoch: epoch, commands };
+    let lease = LeaseChecker { slot: slot.clone(), epoch: slot_epoch, commands };
     let spawned = async {
         Actor::spawn(None, presets, ()).await?;
         Actor::spawn(None, entries, ()).await?;
@@ -77,13 +77,13 @@
         return;
     }
     let _ = stopping.wait_for(|stop| *stop).await;
-    if timeout(MARK_TIMEOUT, slot.mark_leaving(epoch)).await.is_err() {
+    if timeout(MARK_TIMEOUT, slot.mark_leaving(slot_epoch)).await.is_err() {
         warn!(logger, "slot not marked as leaving"; "step" => "leave slot");
     }
     std::future::pending::<()>().await;
 }
 
-/// Takes and keeps the slot of the target.
+/// Takes the target's slot, and marks it as leaving when the agent stops.
 #[derive(Clone)]
 struct SlotHolder {
     settings: Arc<AgentSettings>,
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -85,7 +85,7 @@
     Unsent,
     /// The engine does not hold the adapter, so the request was not run.
     AdapterMissing,
-    /// The request failed, and may have run in part.
+    /// The request failed after it may have started.
     Failed(String),
     /// The entry gave up the request or disconnected.
     Cancelled,
@@ -98,12 +98,13 @@
     pub(super) commands: CommandSender,
     pub(super) epoch: watch::Receiver<u64>,
     pub(super) http: HttpClient,
+    /// Incremented when an order is sent, and again when it is answered.
     pub(super) orders: Arc<AtomicU64>,
     pub(super) crashes: Rc<CrashRecorder>,
     pub(super) logger: Logger,
 }
 
-/// Runs until all senders are gone.
+/// Handles jobs until all senders are dropped.
 pub async fn run(
     settings: Arc<AgentSettings>,
     mut jobs: mpsc::Receiver<TargetJob>,
--- a/crates/daemon/src/options/site.rs
+++ b/crates/daemon/src/options/site.rs
@@ -17,7 +17,8 @@
     time::Duration,
 };
 
-/// Limits set by the site's operators: times for a drain and a stop, and rates of retries and customers.
+/// Limits set by the site's operators: drain and stop times, retries, and how closely customers' limits
+/// are enforced.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SiteBounds {
     /// Milliseconds from the start of a target's drain to the last call that may reach it.
--- a/crates/daemon/tests/daemon/frames.rs
+++ b/crates/daemon/tests/daemon/frames.rs
@@ -16,7 +16,7 @@
 }
 
 /// Guards against a decoder that panics on bytes that are no frame, or that allocates memory for a
-/// length that a frame declares but does not have.
+/// declared length although the bytes are fewer.
 #[test]
 fn decoding_random_bytes_never_panics() {
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
