--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -72,8 +72,10 @@
             telemetry::run(admin, metrics, source, ended).await;
         })?;
         let (agent_settings, log, slot_epoch) = (settings.clone(), logger.clone(), epoch.clone());
-        let rings = decisions::DecisionChannels { commands: command_receiver, jobs, permits };
-        duty::start("decisions", move || decisions::run(agent_settings, rings, slot_epoch, log))?;
+        let channels = decisions::DecisionChannels { commands: command_receiver, jobs, permits };
+        duty::start("decisions", move || {
+            decisions::run(agent_settings, channels, slot_epoch, log)
+        })?;
 
         info!(logger, "agent listens"; "step" => "start", "listen" => %settings.listen,
             "peer" => %settings.target);
--- a/crates/daemon/src/agent/decisions.rs
+++ b/crates/daemon/src/agent/decisions.rs
@@ -119,9 +119,7 @@
     logger: Logger,
 ) {
     // No command is handled before the slot is taken; offers wait in the channel until then.
-    let Ok(slot_epoch) = epoch.wait_for(|epoch| *epoch > 0).await.map(|epoch| *epoch) else {
-        return;
-    };
+    let Ok(slot_epoch) = epoch.wait_for(|epoch| *epoch > 0).await.map(|e| *e) else { return };
     let DecisionChannels { mut commands, jobs, permits } = channels;
     let mut duty = DecisionDuty::new(settings, jobs, permits, slot_epoch, logger);
     let mut ticks = interval(TICK_PAUSE);
