--- a/crates/daemon/src/agent/platform.rs
+++ b/crates/daemon/src/agent/platform.rs
@@ -1,4 +1,4 @@
-//! The platform duty of an agent: holds the slot, and follows the preset in force.
+//! The platform duty of an agent: holds the slot, and watches the entries and the active preset.
 
 use super::decisions::{AgentCommand, CommandSender};
 use crate::{
@@ -29,20 +29,20 @@
     time::{sleep, timeout},
 };
 
-/// Longest pause before an agent follows a change, so that a fleet of them does not come at once.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(800);
-/// Longest wait for the slot to be marked as leaving; entries learn it from refusals anyway.
-const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest pause before an agent reads a changed preset, so that a fleet does not read it at once.
+const FOLLOW_JITTER: Duration = Duration::from_millis(800);
+/// Longest wait until the slot is marked as leaving; entries also learn of it from refusals.
+const MARK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where the duty tells what it finds.
+/// Channels on which the duty publishes its results.
 pub struct PlatformSenders {
-    /// The epoch of the slot, once it is taken.
+    /// Epoch of the slot; 0 until the slot is taken.
     pub epoch: watch::Sender<u64>,
-    /// The entries that may grant load permits.
+    /// Entries that may grant load permits.
     pub entries: watch::Sender<Vec<EntryRecord>>,
 }
 
-/// Runs the duty for as long as the process lives.
+/// Runs the duty until the process ends.
 pub async fn run(
     settings: Arc<AgentSettings>,
     commands: CommandSender,
@@ -57,8 +57,8 @@
         holder: format!("{:016x}", rand::random::<u64>()),
         logger: logger.clone(),
     };
-    let taken = slot.take().await;
-    senders.epoch.send_replace(taken);
+    let slot_epoch = slot.take().await;
+    senders.epoch.send_replace(slot_epoch);
     let presets = PresetFollower {
         store: ConfigStore::new(platform.clone()),
         platform: platform.clone(),
@@ -66,24 +66,24 @@
         logger: logger.clone(),
     };
     let entries = EntryFollower { platform, entries: senders.entries, logger: logger.clone() };
-    let checks = LeaseChecker { slot: slot.clone(), epoch: taken, commands };
+    let lease = LeaseChecker { slot: slot.clone(), epoch: slot_epoch, commands };
     let spawned = async {
         Actor::spawn(None, presets, ()).await?;
         Actor::spawn(None, entries, ()).await?;
-        Actor::spawn(None, checks, ()).await
+        Actor::spawn(None, lease, ()).await
     };
     if let Err(failure) = spawned.await {
         error!(logger, "platform duty failed"; "step" => "spawn", "error" => %failure);
         return;
     }
     let _ = stopping.wait_for(|stop| *stop).await;
-    if timeout(LEAVE_TIMEOUT, slot.mark_leaving(taken)).await.is_err() {
+    if timeout(MARK_TIMEOUT, slot.mark_leaving(slot_epoch)).await.is_err() {
         warn!(logger, "slot not marked as leaving"; "step" => "leave slot");
     }
     std::future::pending::<()>().await;
 }
 
-/// Takes and keeps the slot of the target.
+/// Takes the target's slot, and marks it as leaving when the agent stops.
 #[derive(Clone)]
 struct SlotHolder {
     settings: Arc<AgentSettings>,
@@ -113,7 +113,7 @@
 
     async fn try_take(&self) -> PlatformResult<u64> {
         let (version, known) = self.read().await?;
-        // Our own write whose answer was lost.
+        // This process took the slot by an earlier write whose answer was lost.
         if let Some(slot) = known.as_ref().filter(|slot| slot.holder == self.holder) {
             return Ok(slot.target.epoch);
         }
@@ -124,13 +124,14 @@
         Ok(epoch)
     }
 
-    /// An engine that ignores fencing numbers would still obey a predecessor on another host. That
-    /// one stops ordering when it finds the slot taken, at the latest after a lease's time. On this
-    /// host none can be left: the slot's port is bound, by us.
+    /// Waits for a lease's time if an agent on another host held the slot. An engine that ignores fencing
+    /// numbers still executes that agent's orders, until the agent finds the slot taken, at the latest
+    /// after a lease's time. On this host no predecessor can run, because this process has bound the
+    /// slot's port.
     async fn wait_out_predecessor(&self, known: Option<&SlotRecord>) {
-        let elsewhere = known
+        let is_elsewhere = known
             .is_some_and(|slot| slot.target.peer != self.settings.announce && !slot.target.leaving);
-        if elsewhere && !self.settings.engine_checks_fencing {
+        if is_elsewhere && !self.settings.engine_checks_fencing {
             info!(self.logger, "waiting for the predecessor's lease"; "step" => "take slot");
             sleep(constants::LEASE).await;
         }
@@ -175,10 +176,10 @@
     }
 }
 
-/// Asks for the next look.
-struct LookMessage;
+/// Starts the next poll.
+struct PollMessage;
 
-/// Finds out when another process has taken the slot.
+/// Checks periodically whether another process has taken the slot.
 struct LeaseChecker {
     slot: SlotHolder,
     epoch: u64,
@@ -186,26 +187,26 @@
 }
 
 impl Actor for LeaseChecker {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = ();
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<(), ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         _state: &mut (),
     ) -> Result<(), ActorProcessingErr> {
-        // A platform outage takes nothing away: a successor could not have taken the slot in it.
+        // In a platform outage the lease stays: no successor can take the slot then.
         if let Ok((_, Some(slot))) = self.slot.read().await
             && slot.target.epoch > self.epoch
         {
@@ -215,12 +216,12 @@
             let _ = self.commands.send(lost).await;
             return Ok(());
         }
-        myself.send_after(jitter(constants::LEASE / 3), || LookMessage);
+        myself.send_after(jitter(constants::LEASE / 3), || PollMessage);
         Ok(())
     }
 }
 
-/// Follows the entries that announce themselves. In an outage of the platform, the last list stays.
+/// Watches the entries that register with the platform. In a platform outage, the last list stays.
 struct EntryFollower {
     platform: PlatformClient,
     entries: watch::Sender<Vec<EntryRecord>>,
@@ -228,28 +229,28 @@
 }
 
 impl Actor for EntryFollower {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = KindWatch<EntryRecord>;
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<Self::State, ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(KindWatch::new(self.platform.clone(), ENTRY_KIND, self.logger.clone()))
     }
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         watch: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
         let changed = watch.next().await;
         self.entries.send_modify(|entries| merge_entries(entries, changed));
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 }
@@ -262,7 +263,7 @@
     entries.sort_by(|a, b| a.name.cmp(&b.name));
 }
 
-/// Follows the revision and the preset in force.
+/// Watches the configuration's revision and the active preset.
 struct PresetFollower {
     platform: PlatformClient,
     store: ConfigStore,
@@ -271,16 +272,16 @@
 }
 
 impl Actor for PresetFollower {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = PresetState;
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<PresetState, ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(PresetState {
             watch: KindWatch::new(self.platform.clone(), ROOT_KIND, self.logger.clone()),
             root: ConfigRoot::default(),
@@ -290,21 +291,21 @@
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         state: &mut PresetState,
     ) -> Result<(), ActorProcessingErr> {
         if let Some(root) = state.watch.next().await.into_iter().find_map(|item| item.value)
             && root.revision > state.root.revision
         {
-            self.follow(root, state).await;
+            self.apply_root(root, state).await;
         }
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 }
 
-/// What an agent follows of the configuration.
+/// Configuration state of an agent.
 struct PresetState {
     watch: KindWatch<ConfigRoot>,
     root: ConfigRoot,
@@ -312,10 +313,10 @@
 }
 
 impl PresetFollower {
-    async fn follow(&self, root: ConfigRoot, state: &mut PresetState) {
-        let same = root.preset == state.root.preset
+    async fn apply_root(&self, root: ConfigRoot, state: &mut PresetState) {
+        let is_same = root.preset == state.root.preset
             && root.parts.get(PRESETS_PART) == state.root.parts.get(PRESETS_PART);
-        let preset = match state.preset.take().filter(|_| same) {
+        let preset = match state.preset.take().filter(|_| is_same) {
             Some(preset) => preset,
             None => self.read_preset(&root).await,
         };
@@ -329,19 +330,19 @@
         let _ = self.commands.send(AgentCommand::Event(event)).await;
     }
 
-    /// Reads the preset in force; if its part is already gone, the newest one.
+    /// Reads the active preset; if its configuration part is already deleted, the newest one.
     async fn read_preset(&self, root: &ConfigRoot) -> PresetRecord {
         let mut backoff = platform_backoff();
-        let mut wanted = root.clone();
-        sleep(jitter(FOLLOW_PAUSE)).await;
+        let mut current_root = root.clone();
+        sleep(jitter(FOLLOW_JITTER)).await;
         loop {
-            match self.store.preset(&wanted).await {
+            match self.store.preset(&current_root).await {
                 Ok(preset) => return preset,
                 Err(failure) => note_failure(&self.logger, "read preset", &failure),
             }
             sleep(backoff.next_pause()).await;
             if let Ok(Some(newest)) = self.store.root().await {
-                wanted = newest.value.unwrap_or(wanted);
+                current_root = newest.value.unwrap_or(current_root);
             }
         }
     }
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -1,7 +1,7 @@
-//! The targets duty of an agent: requests and orders to the one target.
+//! The targets duty of an agent: sends requests and orders to the target and forwards its answers.
 
 use super::{
-    crashes::{self, CrashWitness},
+    crashes::{self, CrashRecorder},
     decisions::{AgentCommand, CommandSender},
     engine,
     streams::ReplySender,
@@ -38,9 +38,9 @@
     task::spawn_local,
 };
 
-/// Largest answer that is read whole to be checked.
+/// Largest answer, in bytes, that is buffered to check its model.
 const ANSWER_LIMIT: usize = 16 << 20;
-/// Headers of a target's answer that end at this hop.
+/// Hop-by-hop headers of a target's answer, and its length; they are not forwarded.
 const DROPPED_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -65,13 +65,13 @@
 /// A request to run.
 #[derive(Debug)]
 pub struct RunJob {
-    /// Its number.
+    /// Number of the request at this agent.
     pub work: WorkId,
-    /// What to send.
+    /// The entry's offer, with the head and body to send.
     pub offer: Arc<OfferFrame>,
-    /// Where its answer goes.
+    /// Channel to the entry's stream, for the answer.
     pub replies: ReplySender,
-    /// Time that it waited for its adapter.
+    /// Time for which the request waited for its adapter.
     pub load_stall: Duration,
     /// Resolves when the request is to be cancelled.
     pub cancelled: oneshot::Receiver<()>,
@@ -79,31 +79,32 @@
 
 /// How a request at the target ended.
 enum RunEnd {
-    /// The whole answer was passed on; `End` is still to be sent.
+    /// The whole answer was forwarded; the `End` frame is still to be sent.
     Answered,
-    /// No connection came about, so nothing was run.
+    /// No connection could be opened, so the request was not run.
     Unsent,
-    /// The engine does not hold the adapter, so nothing was run.
+    /// The engine does not hold the adapter, so the request was not run.
     AdapterMissing,
-    /// It failed after it may have begun.
+    /// The request failed after it may have started.
     Failed(String),
-    /// The entry went away.
+    /// The entry gave up the request or disconnected.
     Cancelled,
 }
 
-/// What the jobs share.
+/// State shared by all jobs.
 #[derive(Clone)]
 pub(super) struct TargetContext {
     pub(super) settings: Arc<AgentSettings>,
     pub(super) commands: CommandSender,
     pub(super) epoch: watch::Receiver<u64>,
     pub(super) http: HttpClient,
+    /// Incremented when an order is sent, and again when it is answered.
     pub(super) orders: Arc<AtomicU64>,
-    pub(super) crashes: Rc<CrashWitness>,
+    pub(super) crashes: Rc<CrashRecorder>,
     pub(super) logger: Logger,
 }
 
-/// Runs until all senders are gone.
+/// Handles jobs until all senders are dropped.
 pub async fn run(
     settings: Arc<AgentSettings>,
     mut jobs: mpsc::Receiver<TargetJob>,
@@ -112,10 +113,10 @@
     logger: Logger,
 ) {
     let http = HttpClient::new();
-    let crashes = CrashWitness::new(&settings.common.name, settings.target, logger.clone());
+    let crashes = CrashRecorder::new(&settings.common.name, settings.target, logger.clone());
     let platform = PlatformClient::new(settings.common.platform, HttpClient::new());
     spawn_local(crashes::publish(platform, crashes.subscribe(), logger.clone()));
-    spawn_local(Rc::clone(&crashes).age());
+    spawn_local(Rc::clone(&crashes).expire_crashes());
     let orders = Arc::default();
     let context = TargetContext { settings, commands, epoch, http, orders, crashes, logger };
     let watcher = context.clone();
@@ -133,7 +134,7 @@
     }
 }
 
-/// A plain service has no health call that all share, so that it takes connections has to do.
+/// Checks a plain service by opening connections: services have no health call in common.
 async fn watch_service(context: TargetContext) {
     let mut up = false;
     loop {
@@ -151,9 +152,10 @@
     let RunJob { work, offer, replies, load_stall, cancelled } = job;
     let request = offer.request;
     let started = Instant::now();
-    let carrier = AnswerCarrier { context: &context, offer: &offer, replies: &replies, load_stall };
+    let forwarder =
+        AnswerForwarder { context: &context, offer: &offer, replies: &replies, load_stall };
     let end = tokio::select! {
-        end = carrier.carry() => end,
+        end = forwarder.forward() => end,
         Ok(()) = cancelled => RunEnd::Cancelled,
     };
     let call = request_fingerprint(&offer.work, &offer.head, &offer.body);
@@ -190,16 +192,16 @@
     let _ = replies.send(frame).await;
 }
 
-/// Passes one answer on.
-struct AnswerCarrier<'a> {
+/// Forwards the answer to one request.
+struct AnswerForwarder<'a> {
     context: &'a TargetContext,
     offer: &'a OfferFrame,
     replies: &'a ReplySender,
     load_stall: Duration,
 }
 
-impl AnswerCarrier<'_> {
-    async fn carry(&self) -> RunEnd {
+impl AnswerForwarder<'_> {
+    async fn forward(&self) -> RunEnd {
         let request = match self.build() {
             Ok(request) => request,
             Err(error) => return RunEnd::Failed(format!("{error:#}")),
@@ -209,20 +211,20 @@
             Err(error) if error.unsent => return RunEnd::Unsent,
             Err(error) => return RunEnd::Failed(error.message),
         };
-        if let Some(rest) = requested_backoff(&reply) {
+        if let Some(backoff) = requested_backoff(&reply) {
             warn!(self.context.logger, "target wants no requests"; "step" => "run",
                 "peer" => %self.context.settings.target,
-                "for_ms" => u64::try_from(rest.as_millis()).unwrap_or(u64::MAX));
-            let event = AgentEvent::TargetBacksOff(rest);
+                "for_ms" => u64::try_from(backoff.as_millis()).unwrap_or(u64::MAX));
+            let event = AgentEvent::TargetBacksOff(backoff);
             let _ = self.context.commands.send(AgentCommand::Event(event)).await;
         }
         let result = match &self.offer.work {
-            WorkItem::Service { .. } => self.pass(reply, None).await,
+            WorkItem::Service { .. } => self.forward_body(reply, None).await,
             WorkItem::Completion { key, .. } => match reply.status() {
                 StatusCode::NOT_FOUND => return RunEnd::AdapterMissing,
-                status if !status.is_success() => self.pass(reply, None).await,
-                _ if is_event_stream(&reply) => self.pass_events(reply, key).await,
-                _ => self.pass_checked(reply, key).await,
+                status if !status.is_success() => self.forward_body(reply, None).await,
+                _ if is_event_stream(&reply) => self.forward_events(reply, key).await,
+                _ => self.forward_checked(reply, key).await,
             },
         };
         match result {
@@ -242,23 +244,27 @@
         request.body(Full::new(self.offer.body.clone())).wrap_err("build request")
     }
 
-    /// Passes an answer on as it comes.
-    async fn pass(&self, reply: Response<Incoming>, ran_on: Option<&AdapterKey>) -> Result<()> {
+    /// Forwards an answer without a check, chunk by chunk.
+    async fn forward_body(
+        &self,
+        reply: Response<Incoming>,
+        ran_on: Option<&AdapterKey>,
+    ) -> Result<()> {
         self.send_head(&reply, ran_on).await?;
         let mut body = reply.into_body();
-        while let Some(data) = next_piece(&mut body).await? {
+        while let Some(data) = next_chunk(&mut body).await? {
             self.send_chunk(data).await?;
         }
         Ok(())
     }
 
-    /// Passes events on, whole ones only, each checked for its model.
-    async fn pass_events(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
+    /// Forwards an event stream. Only complete lines are sent, each after a check of its model.
+    async fn forward_events(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
         let mut scanner = EventScanner::new(key.to_string());
         let (parts, mut body) = reply.into_parts();
         let reply = Response::from_parts(parts, ());
         let mut has_head = false;
-        while let Some(data) = next_piece(&mut body).await? {
+        while let Some(data) = next_chunk(&mut body).await? {
             let lines = scanner.push(&data).wrap_err("check answer")?;
             if lines.is_empty() {
                 continue;
@@ -273,8 +279,8 @@
         Ok(())
     }
 
-    /// Reads an answer whole, checks its model and passes it on.
-    async fn pass_checked(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
+    /// Buffers an answer, checks its model and forwards it.
+    async fn forward_checked(&self, reply: Response<Incoming>, key: &AdapterKey) -> Result<()> {
         let (parts, body) = reply.into_parts();
         let limited = http_body_util::Limited::new(body, ANSWER_LIMIT);
         let body = limited.collect().await.map_err(|error| eyre!("read answer: {error}"))?;
@@ -302,25 +308,25 @@
         self.send(AgentFrame::Chunk { request: self.offer.request, data }).await
     }
 
-    /// A non-idempotent request runs on when its entry has gone, so that its effect is whole; only
-    /// its answer is lost.
+    /// Sends a frame to the entry. A non-idempotent request goes on when its entry has disconnected, so
+    /// that it takes effect completely; only its answer is lost.
     async fn send(&self, frame: AgentFrame) -> Result<()> {
         match self.replies.send(frame).await {
             Ok(()) => Ok(()),
             Err(_) if !self.offer.idempotent => Ok(()),
-            Err(_) => Err(eyre!("the entry went away")),
+            Err(_) => Err(eyre!("the entry disconnected")),
         }
     }
 }
 
-/// For how long a target that is unavailable wants no requests, if it says so in seconds.
+/// The `Retry-After` time of a 503 answer, if it is given in seconds.
 fn requested_backoff(reply: &Response<Incoming>) -> Option<Duration> {
     let is_unavailable = reply.status() == StatusCode::SERVICE_UNAVAILABLE;
-    let stated = reply.headers().get(RETRY_AFTER).filter(|_| is_unavailable)?;
-    stated.to_str().ok()?.trim().parse().ok().map(Duration::from_secs)
+    let header = reply.headers().get(RETRY_AFTER).filter(|_| is_unavailable)?;
+    header.to_str().ok()?.trim().parse().ok().map(Duration::from_secs)
 }
 
-async fn next_piece(body: &mut Incoming) -> Result<Option<Bytes>> {
+async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.wrap_err("read answer")?.into_data() {
             return Ok(Some(data));
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the process runs: on SIGHUP, and when their file is seen to differ.
+//! Reloads the settings file while the process runs: on SIGHUP, and when a poll finds it changed.
 
 use crate::options::site::{SiteFile, SiteSettings};
 use eyre::{Result, WrapErr};
@@ -11,11 +11,11 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Pause between looks at the file, which may change without a signal.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+/// Pause between polls of the file, which may change without a signal.
+const POLL_PAUSE: Duration = Duration::from_secs(2);
 
-/// Reads the settings again when they change; wrong ones are logged and leave the last good ones in
-/// force.
+/// Returns a channel with the current settings, which is updated when the file changes. Invalid settings
+/// are logged once, and the last valid ones stay active.
 pub(crate) fn follow<T>(
     settings: &SiteSettings<T>,
     logger: Logger,
@@ -27,13 +27,13 @@
     let path = settings.path.clone();
     let (sender, receiver) = watch::channel(Arc::clone(&settings.file));
     spawn_local(async move {
-        let mut looks = interval(LOOK_PAUSE);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut ticks = interval(POLL_PAUSE);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_fault = String::new();
         loop {
             let is_signal = tokio::select! {
                 _ = hangup.recv() => true,
-                _ = looks.tick() => false,
+                _ = ticks.tick() => false,
             };
             match T::read(&path) {
                 Ok(fresh) if fresh == **sender.borrow() => {
