--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -1,4 +1,5 @@
-//! The links between processes: QUIC, one stream per request, both ends known by their keys.
+//! QUIC connections between processes: one stream per request, both ends authenticated by their
+//! keys.
 
 pub mod frames;
 pub mod heartbeat;
@@ -17,23 +18,22 @@
     time::Duration,
 };
 
-/// Name that the TLS handshake carries; identity rests on the key alone.
+/// Server name in the TLS handshake. Peers are identified by their keys alone, not by this name.
 pub const PEER_NAME: &str = "plantain-peer";
-/// Requests in flight on one connection. The library sets up state for each stream that the other
-/// end may open, 90 bytes of it, so a high limit costs memory on every idle connection.
+/// Most requests in flight on one connection. The library allocates 90 bytes of state for each
+/// stream that the peer may open, so a high limit costs memory on every idle connection.
 const STREAM_LIMIT: u32 = 128;
-/// Time after which an unused connection is dropped, so that an entry holds connections to the
+/// Time after which an unused connection is closed, so that an entry keeps connections only to the
 /// agents that it uses and not to the whole fleet.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of one stream that a receiver lets the sender have under way. Bounds the memory that a
-/// slow caller can take.
+/// Flow-control window of one stream, in bytes. Bounds the memory that a slow caller can take.
 const STREAM_WINDOW: u32 = 256 << 10;
-/// Bytes under way on a connection.
+/// Flow-control window of a connection, in bytes.
 const CONNECTION_WINDOW: u32 = 32 << 20;
-/// First guess of the round trip, until it is measured; far below the default for the internet.
+/// Round-trip time assumed before the first sample; far below the default for the internet.
 const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(10);
 
-/// An endpoint that connects to agents.
+/// Creates an endpoint that connects to agents and to other entries.
 pub fn client_endpoint(bind: IpAddr, keys: &PeerKeys) -> Result<Endpoint> {
     let mut endpoint = Endpoint::client(SocketAddr::new(bind, 0)).wrap_err("bind QUIC client")?;
     let crypto = quinn::crypto::rustls::QuicClientConfig::try_from(keys.client_config()?)
@@ -44,15 +44,15 @@
     Ok(endpoint)
 }
 
-/// An endpoint that takes entries' connections.
+/// Creates an endpoint that accepts connections from peers.
 pub fn server_endpoint(listen: SocketAddr, keys: &PeerKeys) -> Result<Endpoint> {
     let crypto = quinn::crypto::rustls::QuicServerConfig::try_from(keys.server_config()?)
         .wrap_err("set up QUIC server keys")?;
     let mut config = ServerConfig::with_crypto(Arc::new(crypto));
     config.transport_config(transport()?);
     let socket = UdpSocket::bind(listen).wrap_err_with(|| format!("bind QUIC on {listen}"))?;
-    // A restarted process must be able to reset the connections of the one before it; with a key of
-    // its own it could not, and each entry's next offer would go unanswered for a second.
+    // A restarted process must be able to reset its predecessor's connections. With a random reset
+    // key it could not, and each entry's next offer would go unanswered for a second.
     let mut endpoint = EndpointConfig::new(Arc::new(keys.reset_key()));
     let cid_key = keys.cid_key();
     endpoint.cid_generator(move || Box::new(HashedConnectionIdGenerator::from_key(cid_key)));
--- a/crates/daemon/src/link/frames.rs
+++ b/crates/daemon/src/link/frames.rs
@@ -1,23 +1,24 @@
-//! Frames on a stream: a length in four bytes, little-endian, then the message in postcard.
+//! Framing of messages on a stream: a length of four bytes, little-endian, then the message in
+//! postcard.
 
 use eyre::{Result, WrapErr, ensure};
 use quinn::{ReadExactError, RecvStream, SendStream};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Largest frame; holds the largest body and its headers.
+/// Largest frame in bytes; fits the largest body with its headers.
 pub const FRAME_LIMIT: usize = 13 << 20;
 
-/// Bytes of the length before a frame.
+/// Size of the length prefix in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Encodes a frame.
+/// Encodes a message as one frame.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     append(&mut bytes, message)?;
     Ok(bytes)
 }
 
-/// Encodes a frame behind others.
+/// Appends a message as one frame to `bytes`.
 pub fn append<T: Serialize>(bytes: &mut Vec<u8>, message: &T) -> Result<()> {
     let start = bytes.len();
     bytes.extend_from_slice(&[0; LENGTH_BYTES]);
@@ -29,10 +30,10 @@
     Ok(())
 }
 
-/// Decodes the message of a frame, all of it.
+/// Decodes the message of a frame; bytes left over are an error.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let (message, rest) = postcard::take_from_bytes(bytes).wrap_err("decode frame")?;
-    ensure!(rest.is_empty(), "decode frame: {} bytes too many", rest.len());
+    ensure!(rest.is_empty(), "decode frame: {} trailing bytes", rest.len());
     Ok(message)
 }
 
@@ -41,7 +42,7 @@
     stream.write_all(&encode(message)?).await.wrap_err("write frame")
 }
 
-/// Reads one frame; `None` if the stream ended properly before it.
+/// Reads one frame; `None` if the peer finished the stream before it.
 pub async fn read<T: DeserializeOwned>(stream: &mut RecvStream) -> Result<Option<T>> {
     let mut length = [0; LENGTH_BYTES];
     match stream.read_exact(&mut length).await {
--- a/crates/daemon/src/link/heartbeat.rs
+++ b/crates/daemon/src/link/heartbeat.rs
@@ -1,7 +1,7 @@
-//! Finds out within two seconds that the other end of a connection in use is dead or cut off.
+//! Detects within two seconds that the peer of a connection in use is dead or unreachable.
 //!
-//! Only connections with requests in flight carry heartbeats, so their number follows the requests and
-//! not entries times agents. A false alarm costs a retry, never a promise.
+//! Only connections with requests in flight carry heartbeats, so the traffic grows with the
+//! requests and not with entries times agents. A false positive costs a retry, never correctness.
 
 use bytes::Bytes;
 use quinn::{Connection, VarInt};
@@ -13,12 +13,12 @@
 
 /// Pause between heartbeats.
 const HEARTBEAT_PAUSE: Duration = Duration::from_millis(500);
-/// Silence after which the other end counts as gone.
+/// Time without an answer after which the peer counts as dead.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Close code of a connection whose other end was silent.
+/// QUIC error code of a connection closed because the peer sent no heartbeats.
 const SILENT_CODE: VarInt = VarInt::from_u32(1);
 
-/// Sends heartbeats while `in_flight` is above zero, and closes the connection if none comes back.
+/// Sends heartbeats while `in_flight` is above zero, and closes the connection if none is answered.
 pub async fn send_heartbeats(connection: &Connection, in_flight: &AtomicUsize) {
     loop {
         while in_flight.load(Ordering::Acquire) == 0 {
@@ -36,7 +36,7 @@
     }
 }
 
-// Datagrams may be lost, so a heartbeat is repeated until one is answered.
+// Datagrams may be lost, so heartbeats are sent until one is answered.
 async fn exchange_heartbeat(connection: &Connection, deadline: Instant) -> bool {
     while Instant::now() < deadline {
         if connection.send_datagram(Bytes::from_static(b"?")).is_err() {
@@ -52,19 +52,19 @@
     false
 }
 
-/// Answers heartbeats, and closes the connection if they stop while requests are in flight: the entry
-/// is gone, and its requests must not hold their places.
+/// Answers heartbeats, and closes the connection if they stop while requests are in flight: the
+/// entry is dead, and its requests must not keep their slots.
 pub async fn answer_heartbeats(connection: &Connection, in_flight: &AtomicUsize) {
-    let mut heard = Instant::now();
+    let mut last_heartbeat = Instant::now();
     loop {
         match timeout_at(Instant::now() + HEARTBEAT_PAUSE, connection.read_datagram()).await {
             Ok(Ok(heartbeat)) => {
-                heard = Instant::now();
+                last_heartbeat = Instant::now();
                 let _ = connection.send_datagram(heartbeat);
             }
             Ok(Err(_)) => return,
-            Err(_) if in_flight.load(Ordering::Acquire) == 0 => heard = Instant::now(),
-            Err(_) if heard.elapsed() > HEARTBEAT_TIMEOUT * 2 => {
+            Err(_) if in_flight.load(Ordering::Acquire) == 0 => last_heartbeat = Instant::now(),
+            Err(_) if last_heartbeat.elapsed() > HEARTBEAT_TIMEOUT * 2 => {
                 connection.close(SILENT_CODE, b"silent");
                 return;
             }
--- a/crates/daemon/src/link/keys.rs
+++ b/crates/daemon/src/link/keys.rs
@@ -1,5 +1,5 @@
-//! Identity on the links: Ed25519 keys made from a secret in the settings, as raw public keys
-//! (RFC 7250), so that no certificate has to be issued, stored or renewed.
+//! Authentication between processes: Ed25519 keys derived from a secret in the settings, sent as
+//! raw public keys (RFC 7250), so that no certificate has to be issued, stored or renewed.
 
 use eyre::{Result, WrapErr, eyre};
 use ring::hmac;
@@ -27,19 +27,19 @@
 };
 use std::{fmt, sync::Arc};
 
-/// Bytes of a key.
+/// Size of a key in bytes.
 const KEY_BYTES: usize = 32;
-/// DER that stands before an Ed25519 seed in a PKCS #8 key (RFC 8410).
+/// DER prefix of an Ed25519 seed in a PKCS #8 key (RFC 8410).
 const PKCS8_PREFIX: [u8; 16] = [
     0x30, 0x2e, 0x02, 0x01, 0x00, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x04, 0x22, 0x04, 0x20,
 ];
 
-/// What sets the reset key apart from other uses of the own key.
+/// Key derivation context of the stateless reset key.
 const RESET_CONTEXT: &[u8] = b"plantain stateless reset";
-/// What sets the key of connection ids apart.
+/// Key derivation context of the connection id key.
 const CID_CONTEXT: &[u8] = b"plantain connection ids";
 
-/// The keys of this process.
+/// This process's key, and a second key that peers may use while keys are rotated.
 #[derive(Clone)]
 pub struct PeerKeys {
     own: [u8; KEY_BYTES],
@@ -54,7 +54,7 @@
 }
 
 impl PeerKeys {
-    /// Reads the own key, and one that peers may also use while keys are being changed.
+    /// Parses this process's key, and one that peers may also use while keys are rotated.
     pub fn new(own: &str, second: Option<&str>) -> Result<Self, String> {
         Ok(Self {
             own: parse_key("--peer-key", own)?,
@@ -62,22 +62,24 @@
         })
     }
 
-    /// Whether a second key is accepted.
+    /// Whether peers may use a second key.
     pub fn has_second(&self) -> bool {
         self.second.is_some()
     }
 
-    /// Key by which any process with these keys can reset connections of an earlier one.
+    /// Stateless reset key. It depends on this process's key only, so that a restarted process can
+    /// reset the connections of its predecessor.
     pub fn reset_key(&self) -> hmac::Key {
         let seed = hmac::sign(&hmac::Key::new(hmac::HMAC_SHA256, &self.own), RESET_CONTEXT);
         hmac::Key::new(hmac::HMAC_SHA256, seed.as_ref())
     }
 
-    /// Key by which a process recognizes the connection ids of an earlier one.
+    /// Key of the connection id hash, by which a restarted process recognizes the connection ids of
+    /// its predecessor.
     pub fn cid_key(&self) -> u64 {
         let key = hmac::Key::new(hmac::HMAC_SHA256, &self.own);
         let tag = hmac::sign(&key, CID_CONTEXT);
-        let (head, _) = tag.as_ref().split_first_chunk().expect("a tag of 32 bytes");
+        let (head, _) = tag.as_ref().split_first_chunk().expect("an HMAC tag has 32 bytes");
         u64::from_le_bytes(*head)
     }
 
@@ -130,7 +132,7 @@
     Ok(Arc::new(CertifiedKey::new(vec![certificate], key)))
 }
 
-/// Accepts exactly the peers that prove to hold one of the configured keys.
+/// Accepts only peers that prove possession of one of the configured keys.
 #[derive(Debug)]
 struct KeyVerifier {
     accepted: Vec<Vec<u8>>,
