--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,4 +1,5 @@
-//! The entry role: takes callers' requests, chooses a target, offers, streams the answer back.
+//! The entry role: accepts callers' requests, chooses a target for each, offers the request to the
+//! target's agent and streams the answer back.
 
 pub mod broker;
 pub mod callers;
@@ -21,7 +22,7 @@
     options::{EntrySettings, constants},
     telemetry,
 };
-use callers::{CallerContext, CallerRings};
+use callers::{CallerChannels, CallerContext};
 use crashes::QuarantinedCalls;
 use eyre::{Result, WrapErr};
 use plantain_core::config::ConfigSnapshot;
@@ -36,7 +37,7 @@
     task::{LocalSet, spawn_local},
 };
 
-/// Runs an entry until it is told to stop and all requests in flight have ended.
+/// Runs an entry until it gets a stop signal and all requests in flight have ended.
 pub fn run(settings: EntrySettings) -> Result<()> {
     let (logger, _flush) = logging::start(&settings.common, "entry");
     let metrics = telemetry::install()?;
@@ -46,29 +47,31 @@
         let callers = server::bind(settings.listen, "callers' address").await?;
         let admin = server::bind(settings.common.admin, "admin address").await?;
         let stopping = duty::stop_signal()?;
-        let (decisions, decision_ring) = mpsc::channel(constants::RING_DEPTH);
-        let (offers, offer_ring) = mpsc::channel(constants::RING_DEPTH);
+        let (decisions, command_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (offers, offer_receiver) = mpsc::channel(constants::RING_DEPTH);
         let (config_sender, config) = watch::channel(Arc::new(ConfigSnapshot::empty()));
         let (ended_sender, ended) = watch::channel(false);
-        let (held_sender, quarantined) = watch::channel(QuarantinedCalls::default());
+        let (quarantine_sender, quarantined) = watch::channel(QuarantinedCalls::default());
 
-        let policy = settings.clone();
-        duty::start("decisions", move || decisions::run(policy, decision_ring))?;
-        let (link, log) = (settings.clone(), logger.clone());
-        // Callers and peers share a thread: each answer crosses both, and a change of thread costs
-        // more than the work on either side. See docs/design/threads.md.
-        spawn_local(offers::run(link, offer_ring, log));
-        let (own, log) = (settings.clone(), logger.clone());
-        let (known, ring) = (config.clone(), decisions.clone());
-        duty::start("broker", move || broker::run(own, known, ring, log))?;
-        let (records, record_ring) = mpsc::channel(constants::RING_DEPTH);
-        let (own, log) = (settings.clone(), logger.clone());
-        duty::start("idempotency", move || idempotency::run(own, record_ring, log))?;
+        let duty_settings = settings.clone();
+        duty::start("decisions", move || decisions::run(duty_settings, command_receiver))?;
+        let (duty_settings, log) = (settings.clone(), logger.clone());
+        // Callers and peers share a thread: each answer passes through both, and a hand-over
+        // between threads costs more than the work on either side. See docs/design/threads.md.
+        spawn_local(offers::run(duty_settings, offer_receiver, log));
+        let (duty_settings, log) = (settings.clone(), logger.clone());
+        let (duty_config, commands) = (config.clone(), decisions.clone());
+        duty::start("broker", move || broker::run(duty_settings, duty_config, commands, log))?;
+        let (records, record_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (duty_settings, log) = (settings.clone(), logger.clone());
+        duty::start("idempotency", move || idempotency::run(duty_settings, record_receiver, log))?;
         let signals = Arc::new(EntrySignals::default());
-        let (own, ring, log) = (settings.clone(), decisions.clone(), logger.clone());
-        let marks = Arc::clone(&signals);
-        let senders = PlatformSenders { config: config_sender, quarantined: held_sender };
-        duty::start("platform", move || platform::run(own, senders, ring, marks, log))?;
+        let (duty_settings, commands) = (settings.clone(), decisions.clone());
+        let (duty_signals, log) = (Arc::clone(&signals), logger.clone());
+        let senders = PlatformSenders { config: config_sender, quarantined: quarantine_sender };
+        duty::start("platform", move || {
+            platform::run(duty_settings, senders, commands, duty_signals, log)
+        })?;
         let status = EntryStatus::new(
             settings.clone(),
             config.clone(),
@@ -84,9 +87,9 @@
         })?;
 
         info!(logger, "entry listens"; "step" => "start", "listen" => %settings.listen);
-        let rings = CallerRings { decisions, offers, records };
+        let channels = CallerChannels { decisions, offers, records };
         let context =
-            CallerContext::new(settings, config, quarantined, rings, status, logger.clone());
+            CallerContext::new(settings, config, quarantined, channels, status, logger.clone());
         callers::run(callers, context, stopping).await;
         info!(logger, "all requests ended"; "step" => "stop");
         ended_sender.send_replace(true);
--- a/crates/daemon/src/entry/broker.rs
+++ b/crates/daemon/src/entry/broker.rs
@@ -1,7 +1,8 @@
-//! The broker duty of an entry: grants load permits to the agents that ask here.
+//! The broker duty of an entry: grants load permits to agents.
 //!
-//! Agents ask the entry that rendezvous hashing picks, so in a quiet fleet one pool sees all loads
-//! of a weight store. Nothing is kept or agreed on: two brokers for a moment only slow loads down.
+//! Agents choose the entry by rendezvous hashing, so in a stable fleet one pool grants all loads
+//! from a weight store. The pool is neither persisted nor replicated: while two entries both act as
+//! broker, the store may get more loads at once, which only slows them down.
 
 use super::{
     decisions::{DecisionCommand, DecisionSender},
@@ -34,8 +35,8 @@
     time::timeout,
 };
 
-/// Longest sleep between looks at the pool.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+/// Longest pause between two checks of the pool.
+const MAX_CHECK_PAUSE: Duration = Duration::from_secs(1);
 
 struct BrokerState {
     pool: PermitPool,
@@ -51,7 +52,7 @@
     logger: Logger,
 }
 
-/// Runs for as long as the process lives.
+/// Serves agents and starting entries until the process ends.
 pub async fn run(
     settings: Arc<EntrySettings>,
     config: watch::Receiver<Arc<ConfigSnapshot>>,
@@ -61,7 +62,8 @@
     let endpoint = match server_endpoint(settings.peer_listen, &settings.common.keys) {
         Ok(endpoint) => endpoint,
         Err(failure) => {
-            error!(logger, "no broker"; "step" => "bind", "error" => format!("{failure:#}"));
+            error!(logger, "cannot listen for agents and entries"; "step" => "bind",
+                "error" => format!("{failure:#}"));
             return;
         }
     };
@@ -86,8 +88,8 @@
 }
 
 async fn accept_streams(duty: Rc<BrokerDuty>, connection: Connection) {
-    // The agent's heartbeats tell it that this broker lives. A silent agent holds no place here: its
-    // permits lapse by themselves.
+    // Only the agent uses heartbeats, to detect that this broker is dead. A count of zero keeps the
+    // connection open here: the permits of an agent that stops answering expire on their own.
     let connected = connection.clone();
     spawn_local(
         async move { heartbeat::answer_heartbeats(&connected, &AtomicUsize::new(0)).await },
@@ -103,7 +105,8 @@
     }
 }
 
-/// Follows one request from the first question to the end of its stream, which gives it back.
+/// Serves one permit request from its first frame to the end of its stream, which returns the
+/// permit.
 async fn serve_request(
     duty: &BrokerDuty,
     mut send: SendStream,
@@ -111,8 +114,8 @@
 ) -> Result<()> {
     let (request, urgency) = match frames::read(&mut receive).await? {
         Some(PeerFrame::Ask { request, urgency }) => (request, urgency),
-        Some(PeerFrame::Join) => return duty.tell_joiner(send).await,
-        None => return Err(eyre!("the stream ended before its question")),
+        Some(PeerFrame::Join) => return duty.serve_join(send).await,
+        None => return Err(eyre!("the stream ended before a request")),
     };
     let (granted, mut grant) = oneshot::channel();
     {
@@ -132,13 +135,13 @@
                 }
             }
             frame = frames::read::<PeerFrame>(&mut receive) => match frame {
-                // News of a request that was granted meanwhile must not make it wait again.
+                // An update that crosses the grant must not queue the request again.
                 Ok(Some(_)) if is_granted => {}
                 Ok(Some(PeerFrame::Ask { urgency, .. })) => {
                     let now = duty.started.elapsed();
                     duty.state.borrow_mut().pool.enqueue(request.clone(), urgency, now);
                 }
-                Ok(Some(PeerFrame::Join)) => break Err(eyre!("a second question on one stream")),
+                Ok(Some(PeerFrame::Join)) => break Err(eyre!("join request on a permit stream")),
                 Ok(None) => break Ok(()),
                 Err(failure) => break Err(failure),
             },
@@ -153,13 +156,14 @@
 }
 
 impl BrokerDuty {
-    /// Tells a starting entry what this one knows, so that it can serve in an outage.
-    async fn tell_joiner(&self, mut send: SendStream) -> Result<()> {
+    /// Sends a starting entry the configuration and the targets, so that it can serve during a
+    /// platform outage.
+    async fn serve_join(&self, mut send: SendStream) -> Result<()> {
         let (sender, targets) = oneshot::channel();
         let _ = self.decisions.send(DecisionCommand::ListTargets(sender)).await;
         let targets = targets.await.unwrap_or_default();
         let config = Arc::clone(&self.config.borrow());
-        frames::write(&mut send, &join::describe(&config, targets)?).await?;
+        frames::write(&mut send, &join::build_join_frame(&config, targets)?).await?;
         let _ = send.finish();
         let _ = send.stopped().await;
         Ok(())
@@ -180,7 +184,7 @@
             gauge!(names::PERMITS_WAITING).set(state.pool.waiting() as f64);
             state.pool.next_grant(now)
         };
-        let pause = next.unwrap_or(LOOK_PAUSE).min(LOOK_PAUSE);
+        let pause = next.unwrap_or(MAX_CHECK_PAUSE).min(MAX_CHECK_PAUSE);
         let _ = timeout(pause, duty.changed.notified()).await;
     }
 }
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! The callers duty of an entry: HTTP in, HTTP out.
+//! The callers duty of an entry: accepts HTTP requests, has each one run, and writes the answers.
 
 use super::{
     crashes::QuarantinedCalls,
@@ -50,33 +50,34 @@
     time::{sleep, timeout},
 };
 
-/// Advice to callers that an entry has no room for.
-const BUSY_PAUSE: Duration = Duration::from_secs(1);
-/// Time for which an entry that was told to stop still takes connections, so that the balancer sees
-/// that it is not ready before a caller meets a closed port.
+/// `Retry-After` of requests that the entry refuses because all its slots are in use.
+const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Time for which a stopping entry still accepts connections, so that the load balancer sees that
+/// it is not ready before a caller's connection is refused.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Longest wait for a configuration that an agent already has.
-const CATCH_UP_TIME: Duration = Duration::from_secs(1);
-/// Times that a request is resolved again because an agent had a newer configuration.
-const RESOLVE_LIMIT: usize = 3;
+/// Longest wait for a configuration revision that an agent already has.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(1);
+/// Most attempts to resolve a request; each after the first because an agent had a newer
+/// configuration.
+const RESOLVE_ATTEMPTS: usize = 3;
 
-/// The rings that join the callers duty to others.
+/// Channels from the callers duty to the other duties.
 #[derive(Clone, Debug)]
-pub struct CallerRings {
-    /// To the decisions.
+pub struct CallerChannels {
+    /// Commands to the decisions duty.
     pub decisions: DecisionSender,
-    /// To the peers.
+    /// Offers to the peers duty.
     pub offers: OfferSender,
-    /// To the idempotency records.
+    /// Changes of records to the idempotency duty.
     pub records: RecordSender,
 }
 
-/// What every caller's request needs.
+/// State shared by all callers' requests.
 #[derive(Clone, Debug)]
 pub struct CallerContext {
     pub(crate) settings: Arc<EntrySettings>,
     pub(crate) config: watch::Receiver<Arc<ConfigSnapshot>>,
-    /// Requests that must not be offered.
+    /// Fingerprints of quarantined requests, which must not be offered.
     pub(crate) quarantined: watch::Receiver<QuarantinedCalls>,
     pub(crate) decisions: DecisionSender,
     pub(crate) offers: OfferSender,
@@ -84,23 +85,23 @@
     records: RecordSender,
     replays: ReplayTable,
     status: EntryStatus,
-    places: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
     next_id: Arc<AtomicU64>,
 }
 
 impl CallerContext {
-    /// Joins the callers duty to the others.
+    /// Creates the state shared by all requests; `channels` lead to the other duties.
     pub fn new(
         settings: Arc<EntrySettings>,
         config: watch::Receiver<Arc<ConfigSnapshot>>,
         quarantined: watch::Receiver<QuarantinedCalls>,
-        rings: CallerRings,
+        channels: CallerChannels,
         status: EntryStatus,
         logger: Logger,
     ) -> Self {
-        let CallerRings { decisions, offers, records } = rings;
-        let places = Arc::new(Semaphore::new(settings.requests));
-        // Ids start at random, so that those of a restarted entry do not meet its earlier ones.
+        let CallerChannels { decisions, offers, records } = channels;
+        let slots = Arc::new(Semaphore::new(settings.requests));
+        // Ids start at a random number, so that a restarted entry does not reuse its earlier ones.
         let next_id = Arc::new(AtomicU64::new(rand::random::<u64>() >> 1));
         let replays = ReplayTable::default();
         Self {
@@ -113,13 +114,14 @@
             records,
             replays,
             status,
-            places,
+            slots,
             next_id,
         }
     }
 }
 
-/// Serves callers until the process is told to stop and all requests in flight have ended.
+/// Serves callers until the stop signal, then until all requests in flight have ended, for at most
+/// [`constants::DRAIN_TIMEOUT`].
 pub async fn run(
     listener: TcpListener,
     context: CallerContext,
@@ -158,19 +160,19 @@
             "/readyz" => return text_reply(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             _ => {}
         }
-        let Ok(_place) = self.places.try_acquire() else {
+        let Ok(_slot) = self.slots.try_acquire() else {
             counter!(names::REFUSALS, "reason" => "entry_busy").increment(1);
-            return RequestError::entry_busy(BUSY_PAUSE).reply();
+            return RequestError::entry_busy(BUSY_RETRY_AFTER).reply();
         };
         let started = Instant::now();
         let id: RequestId = self.next_id.fetch_add(1, Ordering::Relaxed);
         let name = request_name(request.headers(), id);
-        let mut facts = None;
+        let mut labels = None;
         let guard = RequestGuard::new(&name, &self.logger, started);
-        let result = self.serve(request, id, &name, &mut facts).await;
+        let result = self.serve(request, id, &name, &mut labels).await;
         guard.end();
-        if let Some(facts) = facts {
-            self.status.record(&facts.outcome(&result, started.elapsed()));
+        if let Some(labels) = labels {
+            self.status.record(&labels.outcome(&result, started.elapsed()));
         }
         self.finish(result, &name, peer, started)
     }
@@ -180,7 +182,7 @@
         request: Request<Incoming>,
         id: RequestId,
         name: &str,
-        facts: &mut Option<RequestFacts>,
+        labels: &mut Option<RequestLabels>,
     ) -> Result<HttpReply, RequestError> {
         let path = RequestPath::new(request.method(), request.uri())?;
         let (parts, body) = request.into_parts();
@@ -190,11 +192,11 @@
         let body = self.read_body(body).await?;
         let received = Instant::now();
         let logger = self.logger.new(o!("request" => name.to_owned()));
-        for _ in 0..RESOLVE_LIMIT {
+        for _ in 0..RESOLVE_ATTEMPTS {
             let snapshot = Arc::clone(&self.config.borrow());
             let mut admitted = request::admit(path.clone(), &parts, body.clone(), &snapshot)?;
             admitted.time_left = admitted.time_left.saturating_sub(received.elapsed());
-            *facts = Some(RequestFacts::new(&admitted));
+            *labels = Some(RequestLabels::new(&admitted));
             let key = admitted.record.clone();
             let exchange = Exchange::new(self, admitted, snapshot.revision(), id, name, &logger);
             let end = match key {
@@ -207,11 +209,11 @@
                 ExchangeEnd::ConfigBehind(revision) => self.catch_up(revision).await,
             }
         }
-        Err(RequestError::entry_busy(BUSY_PAUSE))
+        Err(RequestError::entry_busy(BUSY_RETRY_AFTER))
     }
 
-    /// Runs a request whose key makes it the same as the caller's retries of it: recorded on the
-    /// platform before it is offered, and answered again from memory where it has already run.
+    /// Runs a request with an idempotency key. The key is recorded on the platform before the
+    /// request is offered; a retry with the same key gets the first answer from memory.
     async fn run_once(&self, exchange: Exchange<'_>, key: RecordKey) -> ExchangeEnd {
         let guard = match self.replays.begin(&key) {
             Ok(guard) => guard,
@@ -223,7 +225,7 @@
         let refused = match idempotency::change(&self.records, record).await {
             Ok(RecordVerdict::Done) => None,
             Ok(RecordVerdict::Taken(theirs)) => Some(RequestError::key_taken(&theirs.entry)),
-            Ok(RecordVerdict::Full) => Some(RequestError::keys_unavailable(BUSY_PAUSE)),
+            Ok(RecordVerdict::Full) => Some(RequestError::keys_unavailable(BUSY_RETRY_AFTER)),
             Err(pause) => Some(RequestError::keys_unavailable(pause)),
         };
         if let Some(error) = refused {
@@ -234,7 +236,7 @@
         match &end {
             ExchangeEnd::Reply(reply) => guard.answered(reply),
             ExchangeEnd::Error(error) if error.outcome == RunOutcome::Unknown => drop(guard),
-            // Provably not run: the record is given back, so that the next try may run.
+            // Provably not run: the record is removed, so that a retry may run.
             _ => {
                 guard.not_run();
                 let release = RecordChange::Remove(key, operation);
@@ -244,13 +246,13 @@
         end
     }
 
-    /// Waits for a configuration that an agent has seen, so that no request meets an older one than
-    /// it has already passed.
+    /// Waits for the configuration revision that an agent reported, so that the request is not
+    /// resolved with an older one.
     async fn catch_up(&self, revision: u64) {
-        self.status.ask_refresh();
+        self.status.request_refresh();
         let mut config = self.config.clone();
         let newer = config.wait_for(|snapshot| snapshot.revision() >= revision);
-        let _ = timeout(CATCH_UP_TIME, newer).await;
+        let _ = timeout(CATCH_UP_TIMEOUT, newer).await;
     }
 
     async fn read_body(&self, body: Incoming) -> Result<Bytes, RequestError> {
@@ -310,7 +312,7 @@
     }
 }
 
-/// Gives a retry the answer of the first request, once there is one.
+/// Answers a retry with the answer of the first request, once there is one.
 async fn replay(mut first: watch::Receiver<FirstRequest>, limit: Duration) -> ExchangeEnd {
     let ended = first.wait_for(|first| !matches!(first, FirstRequest::Running));
     let ended = timeout(limit, ended).await;
@@ -320,22 +322,23 @@
             FirstRequest::Answered(None) => RequestError::already_answered(),
             _ => RequestError::unknown("an earlier request with this key ended without an answer"),
         },
-        // The first request was provably not run; the caller may ask again at once.
+        // The first request was provably not run; the caller may retry at once.
         Ok(Err(_)) => RequestError::first_not_run(),
-        Err(_) => RequestError::unknown("an earlier request with this key is still under way"),
+        Err(_) => RequestError::unknown("an earlier request with this key is still in flight"),
     };
     ExchangeEnd::Error(error)
 }
 
-/// Reads the rest of a body that is too large, within bounds: a caller that still sends sees a
-/// broken connection in place of the error.
+/// Reads and drops the rest of a body that is too large, up to a limit of bytes and time; otherwise
+/// a caller that is still sending would see a broken connection instead of the error.
 async fn discard(body: Incoming) {
     let mut rest = Limited::new(body, constants::DISCARD_LIMIT);
     let discarded = async { while let Some(Ok(_)) = rest.frame().await {} };
     let _ = timeout(constants::DISCARD_TIMEOUT, discarded).await;
 }
 
-/// Counts a request in flight, and tells if its caller leaves before it has an answer.
+/// Counts a request as in flight, and logs and counts it if its caller disconnects before the
+/// answer.
 struct RequestGuard<'a> {
     name: &'a str,
     logger: &'a Logger,
@@ -365,14 +368,14 @@
     }
 }
 
-/// What the report on service-level burn says of a request.
-struct RequestFacts {
+/// Dimensions under which a request counts in the report on error budget burn.
+struct RequestLabels {
     priority: Priority,
     caller: CallerName,
     subject: String,
 }
 
-impl RequestFacts {
+impl RequestLabels {
     fn new(admitted: &AdmittedRequest) -> Self {
         let subject = match &admitted.work {
             WorkItem::Completion { key, .. } => key.name.to_string(),
--- a/crates/daemon/src/entry/crashes.rs
+++ b/crates/daemon/src/entry/crashes.rs
@@ -1,4 +1,4 @@
-//! Follows what agents tell of requests that end their targets.
+//! Watches the agents' crash reports for requests that crash their targets.
 
 use crate::watch::KindWatch;
 use plantain_core::{
@@ -18,11 +18,11 @@
     time::{Instant as WaitInstant, timeout_at},
 };
 
-/// Requests that must not be offered.
+/// Fingerprints of quarantined requests, which must not be offered.
 pub(crate) type QuarantinedCalls = Arc<HashSet<CallFingerprint>>;
 
-/// Longest pause between looks whether crashes have become too old to count.
-const AGING_PAUSE: Duration = Duration::from_secs(30);
+/// Longest pause between checks for expired crashes.
+const EXPIRY_PAUSE: Duration = Duration::from_secs(30);
 
 /// Fingerprint of a request as its target gets it.
 pub(crate) fn request_fingerprint(
@@ -30,7 +30,7 @@
     head: &RequestHead,
     body: &[u8],
 ) -> CallFingerprint {
-    // Paths below a service's name are the service's own.
+    // A service's path is relative to its name, so the name is part of the fingerprint.
     let service = match work {
         WorkItem::Completion { .. } => "",
         WorkItem::Service { name } => name,
@@ -38,20 +38,20 @@
     call_fingerprint(&head.method, service, &head.path, body)
 }
 
-/// Follows the agents' objects for as long as the process lives, and passes on which requests are held
-/// back.
+/// Watches the agents' crash reports until the process ends, and publishes the quarantined
+/// requests.
 pub(super) async fn run(
     platform: PlatformClient,
     quarantined: watch::Sender<QuarantinedCalls>,
     logger: Logger,
 ) {
     let began = Instant::now();
-    // An entry sees no target itself, and tells nothing.
+    // An entry observes no targets and sends no reports, so its ledger needs no router name.
     let mut ledger = CrashLedger::new("".into(), rand::random());
     let mut watch = KindWatch::<CrashReport>::new(platform, CRASH_KIND, logger.clone());
     loop {
-        let next_look = WaitInstant::now() + AGING_PAUSE;
-        if let Ok(items) = timeout_at(next_look, watch.next()).await {
+        let next_expiry = WaitInstant::now() + EXPIRY_PAUSE;
+        if let Ok(items) = timeout_at(next_expiry, watch.next()).await {
             for report in items.into_iter().filter_map(|item| item.value) {
                 ledger.take_report(&Arc::new(report), began.elapsed());
             }
@@ -59,7 +59,8 @@
         ledger.expire(began.elapsed());
         let calls = ledger.quarantined_calls();
         if calls != **quarantined.borrow() {
-            info!(logger, "requests held back"; "step" => "crashes", "count" => calls.len(),
+            info!(logger, "quarantined requests changed"; "step" => "crashes",
+                "count" => calls.len(),
                 "fingerprints" => ?calls.iter().map(|call| format!("{call:032x}")).collect::<Vec<_>>());
             quarantined.send_replace(Arc::new(calls));
         }
--- a/crates/daemon/src/entry/decisions.rs
+++ b/crates/daemon/src/entry/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions duty of an entry: owns the routing state, one command at a time.
+//! The decisions duty of an entry: owns the routing state and handles one command at a time.
 
 use crate::{options::EntrySettings, telemetry::names};
 use metrics::{counter, gauge};
@@ -18,56 +18,56 @@
 /// Sends commands to the decisions duty.
 pub type DecisionSender = mpsc::Sender<DecisionCommand>;
 
-/// How an offer ended, for the view of its target.
+/// How an offer ended; updates the entry's view of its target.
 #[derive(Debug)]
 pub enum OfferEnd {
-    /// With the target's answer.
+    /// The target answered.
     Answered,
-    /// With a refusal.
+    /// The agent refused it.
     Refused(Refusal),
     /// The agent or its target failed, or could not be reached.
     Failed,
-    /// The caller went away.
+    /// The caller disconnected.
     Dropped,
 }
 
-/// Commands.
+/// Commands to the decisions duty.
 #[derive(Debug)]
 pub enum DecisionCommand {
     /// Choose a target.
     Choose {
-        /// What to run.
+        /// The adapter or service that the request needs.
         work: WorkItem,
-        /// Targets that refused or failed already.
+        /// Targets that already refused or failed the request.
         excluded: Vec<TargetName>,
-        /// Where the choice goes.
+        /// Receives the choice, or the reason why no target is offered the request.
         reply: oneshot::Sender<Result<RouteChoice, NotRunProof>>,
     },
-    /// A report came with an exchange.
+    /// An agent's frame carried a report on its target.
     Report {
-        /// From this target.
+        /// The target that the report is about.
         target: TargetName,
-        /// What it says.
+        /// Its load and resident adapters.
         report: TargetReport,
     },
     /// An offer ended.
     Ended {
-        /// To this target.
+        /// The target that got the offer.
         target: TargetName,
-        /// How.
+        /// Its result.
         end: OfferEnd,
     },
-    /// The platform's targets.
+    /// The list of targets changed on the platform.
     Targets(Vec<TargetRecord>),
-    /// The preset in force.
+    /// The active preset changed.
     Preset(PresetRecord),
-    /// The known targets, for an entry that joins.
+    /// Lists the known targets, for an entry that starts during a platform outage.
     ListTargets(oneshot::Sender<Vec<TargetRecord>>),
-    /// The routing state, for the status page.
+    /// Describes the routing state, for the status page.
     Status(oneshot::Sender<Value>),
 }
 
-/// Runs until all senders are gone.
+/// Handles commands until all senders are dropped.
 pub async fn run(settings: Arc<EntrySettings>, mut commands: mpsc::Receiver<DecisionCommand>) {
     let options = EntryOptions {
         region: settings.common.region.clone(),
@@ -93,7 +93,7 @@
                 let _ = reply.send(self.choose(&work, &excluded));
             }
             DecisionCommand::Report { target, report } => self.state.apply_report(&target, report),
-            DecisionCommand::Ended { target, end } => self.ended(&target, &end),
+            DecisionCommand::Ended { target, end } => self.record_end(&target, &end),
             DecisionCommand::Targets(records) => {
                 gauge!(names::TARGETS).set(records.len() as f64);
                 self.state.set_targets(records);
@@ -115,7 +115,8 @@
         excluded: &[TargetName],
     ) -> Result<RouteChoice, NotRunProof> {
         if !excluded.is_empty() {
-            // Every offer after the first is a retry, and retries must never become the load.
+            // Every offer after the first is a retry. The budget keeps retries a small share of the
+            // load.
             if !self.state.budget().try_spend() {
                 return Err(NotRunProof::never_offered(RefusalReason::RetryBudget, None));
             }
@@ -125,7 +126,7 @@
         self.state.choose(&query, self.started.elapsed())
     }
 
-    fn ended(&mut self, target: &TargetName, end: &OfferEnd) {
+    fn record_end(&mut self, target: &TargetName, end: &OfferEnd) {
         let now = self.started.elapsed();
         match end {
             OfferEnd::Answered => self.state.offer_answered(target),
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! One request's way through offers to agents, up to its answer.
+//! Offers one request to agents until it is answered, refused or given up.
 
 use super::{
     callers::CallerContext,
@@ -33,25 +33,26 @@
     time::{sleep_until, timeout},
 };
 
-/// Offers of one request, the first included.
+/// Most offers of one request, including the first.
 const OFFER_LIMIT: usize = 4;
-/// Offers of one request that may be lost after it may have run. A request that ends its targets would
-/// take one with each offer, before any entry can have heard of it.
+/// Offers of one request that may be lost after the request may have run. A request that crashes
+/// its targets would crash one with each offer, before any entry has received a crash report.
 const LOST_LIMIT: usize = 2;
-/// Time past the deadline in which an agent's own refusal may arrive: it proves that the request
-/// was not run, which the entry's clock cannot.
+/// Time past the deadline in which the entry waits for the agent's refusal: it proves that the
+/// request was not run, which the deadline alone does not.
 const DEADLINE_GRACE: Duration = Duration::from_millis(150);
-/// Largest answer that is held until it is whole, so that one cut short can be asked for again.
-const HOLD_LIMIT: usize = 1 << 20;
+/// Largest answer in bytes that is buffered until it is complete, so that the request can be
+/// offered again if the answer ends early.
+const BUFFER_LIMIT: usize = 1 << 20;
 
 /// How an exchange ended.
 #[derive(Debug)]
 pub enum ExchangeEnd {
-    /// With an answer.
+    /// A target answered.
     Reply(HttpReply),
-    /// Without one.
+    /// The request failed.
     Error(RequestError),
-    /// An agent has this newer configuration; resolve again.
+    /// An agent has this newer revision; the request must be resolved again with it.
     ConfigBehind(ConfigRevision),
 }
 
@@ -60,12 +61,13 @@
     Reply(HttpReply),
     /// Provably not run; another target may be tried.
     NotRun(NotRunProof),
-    /// It may have run.
+    /// The offer ended without a result, and the request may have run.
     Lost(String),
+    /// The agent has this newer revision.
     ConfigBehind(ConfigRevision),
 }
 
-/// The head of an answer.
+/// Head of a target's answer.
 struct AnswerHead {
     status: StatusCode,
     headers: Vec<(String, Bytes)>,
@@ -73,7 +75,7 @@
     load_stall: Duration,
 }
 
-/// One request.
+/// One admitted request and the offers made for it so far.
 pub struct Exchange<'a> {
     context: &'a CallerContext,
     request: AdmittedRequest,
@@ -85,11 +87,11 @@
     fingerprint: CallFingerprint,
     excluded: Vec<TargetName>,
     may_have_run: Option<String>,
-    lost: usize,
+    lost_offers: usize,
 }
 
 impl<'a> Exchange<'a> {
-    /// A request that has been admitted.
+    /// Creates the exchange of an admitted request, which was resolved with `revision`.
     pub fn new(
         context: &'a CallerContext,
         request: AdmittedRequest,
@@ -110,26 +112,26 @@
             started: Instant::now(),
             excluded: Vec::new(),
             may_have_run: None,
-            lost: 0,
+            lost_offers: 0,
         }
     }
 
-    /// Offers the request until it is answered or given up on.
+    /// Offers the request until it is answered or must fail.
     pub async fn run(mut self) -> ExchangeEnd {
         let mut last = None;
         for _ in 0..OFFER_LIMIT {
             if self.time_left().is_zero() {
                 let late = NotRunProof::never_offered(RefusalReason::TooLate, None);
-                return ExchangeEnd::Error(self.give_up(&last.unwrap_or(late)));
+                return ExchangeEnd::Error(self.final_error(&last.unwrap_or(late)));
             }
             if self.is_quarantined() {
                 let quarantined =
                     NotRunProof::never_offered(RefusalReason::HeldBack, Some(CRASH_TTL));
-                return ExchangeEnd::Error(self.give_up(&quarantined));
+                return ExchangeEnd::Error(self.final_error(&quarantined));
             }
             let choice = match self.choose().await {
                 Ok(choice) => choice,
-                Err(proof) => return ExchangeEnd::Error(self.give_up(&last.unwrap_or(proof))),
+                Err(proof) => return ExchangeEnd::Error(self.final_error(&last.unwrap_or(proof))),
             };
             let target = choice.target.clone();
             match self.offer(choice).await {
@@ -139,7 +141,7 @@
                     info!(self.logger, "offer not run"; "step" => "offer", "peer" => &*target,
                         "reason" => proof.reason().name());
                     if proof.reason() == RefusalReason::TooLate && self.time_left().is_zero() {
-                        return ExchangeEnd::Error(self.give_up(&proof));
+                        return ExchangeEnd::Error(self.final_error(&proof));
                     }
                     last = Some(proof);
                 }
@@ -150,9 +152,9 @@
                     if self.time_left().is_zero() {
                         return ExchangeEnd::Error(RequestError::deadline_passed());
                     }
-                    self.lost += 1;
-                    // Running it again could do it twice.
-                    if !self.request.idempotent || self.lost >= LOST_LIMIT {
+                    self.lost_offers += 1;
+                    // Offering it again could run it twice.
+                    if !self.request.idempotent || self.lost_offers >= LOST_LIMIT {
                         return ExchangeEnd::Error(RequestError::unknown(&problem));
                     }
                 }
@@ -160,21 +162,22 @@
             self.excluded.push(target);
         }
         let proof = last.unwrap_or_else(NotRunProof::never_released);
-        ExchangeEnd::Error(self.give_up(&proof))
+        ExchangeEnd::Error(self.final_error(&proof))
     }
 
-    /// Whether the request must not be offered, since too many targets have ended that ran it.
+    /// Whether the request is quarantined: too many targets crashed while they ran it.
     fn is_quarantined(&self) -> bool {
         let is_quarantined = self.context.quarantined.borrow().contains(&self.fingerprint);
         if is_quarantined {
-            warn!(self.logger, "request held back"; "step" => "crashes",
+            warn!(self.logger, "request quarantined"; "step" => "crashes",
                 "fingerprint" => format!("{:032x}", self.fingerprint));
         }
         is_quarantined
     }
 
-    /// A fresh exchange knows nothing of this one's offers. If one of them may have run, a refusal
-    /// that the fresh one meets would pass for a proof, so this one ends here.
+    /// Ends this exchange, so that a new one can be made with the newer configuration. The new one
+    /// does not know this one's offers: if one of them may have run, a later refusal would wrongly
+    /// count as proof that the request did not run, so the request fails instead.
     fn resolve_again(&self, revision: ConfigRevision) -> ExchangeEnd {
         match &self.may_have_run {
             Some(problem) => ExchangeEnd::Error(RequestError::unknown(problem)),
@@ -182,15 +185,15 @@
         }
     }
 
-    /// The final error. Once any offer may have run, a later refusal proves nothing.
-    fn give_up(&self, proof: &NotRunProof) -> RequestError {
+    /// The error for the caller. Once any offer may have run, a later refusal proves nothing.
+    fn final_error(&self, proof: &NotRunProof) -> RequestError {
         match &self.may_have_run {
             Some(problem) => RequestError::unknown(problem),
             None => RequestError::not_run(proof),
         }
     }
 
-    /// Time until the deadline.
+    /// Time until the request's deadline.
     pub fn time_left(&self) -> Duration {
         self.request.time_left.saturating_sub(self.started.elapsed())
     }
@@ -219,12 +222,12 @@
         let head = match timeout(limit, self.await_head(&mut follower)).await {
             Ok(Ok(head)) => head,
             Ok(Err(result)) => return result,
-            Err(_) => return self.overdue(&follower),
+            Err(_) => return self.after_deadline(&follower),
         };
         self.deliver(head, follower, choice.target).await
     }
 
-    fn overdue(&self, follower: &OfferFollower) -> OfferResult {
+    fn after_deadline(&self, follower: &OfferFollower) -> OfferResult {
         if !self.request.idempotent && !follower.released {
             return OfferResult::NotRun(NotRunProof::never_released());
         }
@@ -252,7 +255,7 @@
         }
     }
 
-    /// Follows an offer up to the head of its answer.
+    /// Handles an offer's events up to the head of its answer.
     async fn await_head(&self, follower: &mut OfferFollower) -> Result<AnswerHead, OfferResult> {
         loop {
             let frame = match follower.handle.events.recv().await {
@@ -262,15 +265,16 @@
                     let proof = NotRunProof::never_offered(RefusalReason::Unreachable, None);
                     return Err(OfferResult::NotRun(proof));
                 }
-                Some(OfferEvent::Lost(problem)) => return Err(self.lost(follower, problem)),
-                None => return Err(self.lost(follower, "the peers duty ended".into())),
+                Some(OfferEvent::Lost(problem)) => return Err(self.fail_offer(follower, problem)),
+                None => return Err(self.fail_offer(follower, "the peers duty ended".into())),
             };
             match frame {
                 AgentFrame::Accepted { report, .. } => {
                     follower.guard.report(report);
-                    // An entry that was frozen may be past the window of its idempotency record,
-                    // and another may have run the key since. Deadlines are shorter than the
-                    // window, and a freeze after this check outlasts the agent's reservation.
+                    // If this process was suspended, its idempotency record may have expired, and
+                    // another entry may have run the key since. Deadlines are shorter than the
+                    // record's window, so a request within its deadline still has its record. A
+                    // suspension after this check outlasts the agent's reservation instead.
                     if !self.request.idempotent && self.time_left().is_zero() {
                         return Err(OfferResult::NotRun(NotRunProof::never_released()));
                     }
@@ -296,17 +300,19 @@
                     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     return Ok(AnswerHead { status, headers, ran_on, load_stall });
                 }
-                AgentFrame::Failed { message, .. } => return Err(self.lost(follower, message)),
+                AgentFrame::Failed { message, .. } => {
+                    return Err(self.fail_offer(follower, message));
+                }
                 AgentFrame::Chunk { .. } | AgentFrame::End { .. } => {
-                    return Err(self.lost(follower, "the answer has no head".into()));
+                    return Err(self.fail_offer(follower, "the answer has no head".into()));
                 }
             }
         }
     }
 
-    /// An offer that broke off. A non-idempotent one that was never released only holds a
-    /// reservation, which lapses, so it was not run.
-    fn lost(&self, follower: &mut OfferFollower, problem: String) -> OfferResult {
+    /// Ends an offer that failed. A non-idempotent request that was never released has only a
+    /// reservation, which expires, so it was not run.
+    fn fail_offer(&self, follower: &mut OfferFollower, problem: String) -> OfferResult {
         follower.guard.end(OfferEnd::Failed);
         if !self.request.idempotent && !follower.released {
             return OfferResult::NotRun(NotRunProof::never_released());
@@ -321,21 +327,21 @@
         target: TargetName,
     ) -> OfferResult {
         if let Err(problem) = self.check_ran_on(&head) {
-            return self.lost(&mut follower, problem);
+            return self.fail_offer(&mut follower, problem);
         }
         histogram!(names::LOAD_STALL_SECONDS).record(head.load_stall.as_secs_f64());
         let mut body = BytesMut::new();
-        let holds = self.holds_answer(&head);
+        let is_buffered = self.buffers_answer(&head);
         let deadline = tokio::time::Instant::now() + self.time_left() + DEADLINE_GRACE;
         loop {
             let event = tokio::select! {
                 event = follower.handle.events.recv() => event,
-                () = sleep_until(deadline) => return self.overdue(&follower),
+                () = sleep_until(deadline) => return self.after_deadline(&follower),
             };
             match event {
                 Some(OfferEvent::Frame(AgentFrame::Chunk { data, .. })) => {
                     body.extend_from_slice(&data);
-                    if holds && body.len() <= HOLD_LIMIT {
+                    if is_buffered && body.len() <= BUFFER_LIMIT {
                         continue;
                     }
                     self.record_first_byte();
@@ -344,8 +350,8 @@
                         sender,
                         follower,
                         started: self.started,
-                        first: body.freeze(),
-                        events: self.request.streamed,
+                        first_chunk: body.freeze(),
+                        is_event_stream: self.request.streamed,
                         logger: self.logger.clone(),
                     };
                     tokio::spawn(forward.run());
@@ -360,16 +366,16 @@
                     return OfferResult::Reply(reply(&head, &target, body));
                 }
                 Some(OfferEvent::Frame(AgentFrame::Failed { message, .. })) => {
-                    return self.lost(&mut follower, message);
+                    return self.fail_offer(&mut follower, message);
                 }
-                Some(OfferEvent::Lost(problem)) => return self.lost(&mut follower, problem),
-                _ => return self.lost(&mut follower, "the answer broke off".into()),
+                Some(OfferEvent::Lost(problem)) => return self.fail_offer(&mut follower, problem),
+                _ => return self.fail_offer(&mut follower, "the answer ended early".into()),
             }
         }
     }
 
-    /// An answer that names another adapter or version is never delivered, whatever the agent
-    /// already checked.
+    /// Rejects a successful answer that names another adapter or version than the request. The
+    /// agent checks this too.
     fn check_ran_on(&self, head: &AnswerHead) -> Result<(), String> {
         let WorkItem::Completion { key, .. } = &self.request.work else { return Ok(()) };
         if !head.status.is_success() || head.ran_on.as_ref() == Some(key) {
@@ -379,7 +385,8 @@
         Err(format!("the answer ran on {ran_on}, not on {key}"))
     }
 
-    fn holds_answer(&self, head: &AnswerHead) -> bool {
+    /// Whether the answer is buffered until it is complete; streams never are.
+    fn buffers_answer(&self, head: &AnswerHead) -> bool {
         let is_stream = head
             .headers
             .iter()
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -1,4 +1,4 @@
-//! An offer under way, and the word to the decisions of how it ends.
+//! An offer in flight, and the guard that reports its end to the decisions duty.
 
 use super::{
     decisions::{DecisionCommand, DecisionSender, OfferEnd},
@@ -7,18 +7,19 @@
 use plantain_core::{ids::TargetName, protocol::TargetReport};
 use tokio::sync::mpsc;
 
-/// An offer under way.
+/// An offer in flight.
 pub(super) struct OfferFollower {
-    /// Events from the agent, and the release.
+    /// Receives the agent's events and releases a reserved request.
     pub(super) handle: OfferHandle,
-    /// Tells the decisions how it ends.
+    /// Reports the offer's end to the decisions duty.
     pub(super) guard: OfferGuard,
     /// Whether a reserved request was released to its target.
     pub(super) released: bool,
 }
 
-/// Tells the decisions duty how an offer ended, also when the caller went away and the exchange was
-/// dropped in the middle: otherwise the target would seem busier with each caller that leaves.
+/// Reports the end of an offer to the decisions duty, also when the caller disconnects and the
+/// exchange is dropped: otherwise the target's count of requests in flight would grow with each
+/// such caller.
 pub(super) struct OfferGuard {
     decisions: DecisionSender,
     pub(super) target: TargetName,
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! The part of an answer that streams to the caller.
+//! Streams an answer to the caller.
 
 use super::{decisions::OfferEnd, follow::OfferFollower, offers::OfferEvent, reply::RequestError};
 use crate::{options::constants, telemetry::names};
@@ -10,27 +10,28 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// Time in which the last event of a broken stream goes out.
+/// Time for the server to write the error event before the connection is cut.
 const FLUSH_PAUSE: Duration = Duration::from_millis(20);
 
-/// Passes an answer on to the caller as it comes.
+/// Forwards an answer to the caller chunk by chunk.
 pub(super) struct Forward {
     pub(super) sender: BodySender,
     pub(super) follower: OfferFollower,
     pub(super) started: Instant,
-    pub(super) first: Bytes,
-    pub(super) events: bool,
+    pub(super) first_chunk: Bytes,
+    pub(super) is_event_stream: bool,
     pub(super) logger: Logger,
 }
 
 impl Forward {
-    /// Runs to the end of the answer.
+    /// Forwards until the answer ends or the caller disconnects.
     pub(super) async fn run(mut self) {
-        let mut piece = std::mem::take(&mut self.first);
+        let mut chunk = std::mem::take(&mut self.first_chunk);
         let problem = loop {
-            match timeout(constants::WRITE_TIMEOUT, self.sender.send(Ok(piece))).await {
+            match timeout(constants::WRITE_TIMEOUT, self.sender.send(Ok(chunk))).await {
                 Ok(Ok(())) => {}
-                // The caller is gone, or does not read: its place is worth more than its answer.
+                // The caller has disconnected, or does not read: the request is cancelled to free
+                // its slot.
                 Ok(Err(_)) | Err(_) => return self.follower.guard.end(OfferEnd::Dropped),
             }
             let event = tokio::select! {
@@ -38,7 +39,7 @@
                 () = self.sender.closed() => return self.follower.guard.end(OfferEnd::Dropped),
             };
             match event {
-                Some(OfferEvent::Frame(AgentFrame::Chunk { data, .. })) => piece = data,
+                Some(OfferEvent::Frame(AgentFrame::Chunk { data, .. })) => chunk = data,
                 Some(OfferEvent::Frame(AgentFrame::End { report, .. })) => {
                     histogram!(names::REQUEST_SECONDS).record(self.started.elapsed().as_secs_f64());
                     self.follower.guard.report(report);
@@ -46,24 +47,24 @@
                 }
                 Some(OfferEvent::Frame(AgentFrame::Failed { message, .. })) => break message,
                 Some(OfferEvent::Lost(problem)) => break problem,
-                _ => break "the answer broke off".to_owned(),
+                _ => break "the answer ended early".to_owned(),
             }
         };
-        self.break_off(problem).await;
+        self.abort(problem).await;
     }
 
-    /// Tells the caller that the answer is not whole, then cuts the connection, so that not even a
-    /// caller that ignores the event can take it for a short answer.
-    async fn break_off(mut self, problem: String) {
-        warn!(self.logger, "answer broken off"; "step" => "stream",
+    /// Sends the caller an error event if the answer is an event stream, then cuts the connection:
+    /// a caller that ignores the event must not take the partial answer for a complete one.
+    async fn abort(mut self, problem: String) {
+        warn!(self.logger, "answer aborted"; "step" => "stream",
             "peer" => &*self.follower.guard.target, "error" => &problem);
         self.follower.guard.end(OfferEnd::Failed);
         counter!(names::REQUESTS, "outcome" => "broken_off").increment(1);
-        if self.events {
+        if self.is_event_stream {
             let error = RequestError::unknown(&problem).body();
             let event = format!("event: error\ndata: {error}\n\n");
             let _ = self.sender.send(Ok(event.into())).await;
-            // The server throws away what it has not written when a body breaks off.
+            // The server discards unwritten data when a body fails.
             sleep(FLUSH_PAUSE).await;
         }
         let _ = self.sender.send(Err(BodyAbort(problem))).await;
--- a/crates/daemon/src/entry/idempotency.rs
+++ b/crates/daemon/src/entry/idempotency.rs
@@ -22,29 +22,29 @@
     time::sleep,
 };
 
-/// Attempts to write one batch while others write the same shard.
+/// Most attempts to write one batch while other entries write the same shard.
 const WRITE_ATTEMPTS: u32 = 16;
-/// Least pause between two batches of one shard.
+/// Shortest pause between two batches of one shard.
 const BATCH_PAUSE: Duration = Duration::from_millis(5);
-/// Time after a failure in which the platform counts as out, and records are refused at once.
-const OUTAGE_TIME: Duration = Duration::from_secs(1);
+/// Time after a failed write during which the platform counts as down and changes fail at once.
+const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Sends jobs to the idempotency duty.
 pub type RecordSender = mpsc::Sender<RecordJob>;
 
-/// A change to make.
+/// A change of a record, and the channel for its result.
 #[derive(Debug)]
 pub struct RecordJob {
-    /// The change.
+    /// The record to insert or remove.
     pub change: RecordChange,
-    /// Where its verdict goes; an error says when to come back.
+    /// Receives the result; an error is the time after which to retry.
     pub reply: oneshot::Sender<Result<RecordVerdict, Duration>>,
 }
 
 #[derive(Default)]
 struct ShardQueue {
     waiting: Vec<RecordJob>,
-    writing: bool,
+    is_writing: bool,
     known: Option<(u64, RecordShard)>,
 }
 
@@ -55,7 +55,7 @@
     logger: Logger,
 }
 
-/// Runs until all senders are gone.
+/// Handles changes until all senders are dropped.
 pub async fn run(settings: Arc<EntrySettings>, mut jobs: mpsc::Receiver<RecordJob>, log: Logger) {
     let duty = Rc::new(RecordDuty {
         platform: PlatformClient::new(settings.common.platform, HttpClient::new()),
@@ -64,36 +64,36 @@
         logger: log,
     });
     while let Some(job) = jobs.recv().await {
-        duty.take(job);
+        duty.enqueue(job);
     }
 }
 
 impl RecordDuty {
-    fn take(self: &Rc<Self>, job: RecordJob) {
+    fn enqueue(self: &Rc<Self>, job: RecordJob) {
         let outage = self.failed.borrow().map(|failed| failed.elapsed());
-        if let Some(since) = outage.filter(|since| *since < OUTAGE_TIME) {
-            // Known to be out: the answer is given at once, not after one more timeout.
-            let _ = job.reply.send(Err(OUTAGE_TIME.saturating_sub(since)));
+        if let Some(since) = outage.filter(|since| *since < OUTAGE_BACKOFF) {
+            // Fails at once instead of after one more timeout.
+            let _ = job.reply.send(Err(OUTAGE_BACKOFF.saturating_sub(since)));
             return;
         }
         let shard = record_shard(job.change.key());
         let mut shards = self.shards.borrow_mut();
         let queue = shards.entry(shard).or_default();
         queue.waiting.push(job);
-        if !queue.writing {
-            queue.writing = true;
+        if !queue.is_writing {
+            queue.is_writing = true;
             spawn_local(Rc::clone(self).write_shard(shard));
         }
     }
 
-    /// Writes batch after batch of one shard: the next goes as soon as the last has ended.
+    /// Writes the waiting changes of one shard in batches until none is left.
     async fn write_shard(self: Rc<Self>, shard: u64) {
         loop {
             let (batch, known) = {
                 let mut shards = self.shards.borrow_mut();
                 let queue = shards.entry(shard).or_default();
                 if queue.waiting.is_empty() {
-                    queue.writing = false;
+                    queue.is_writing = false;
                     return;
                 }
                 (std::mem::take(&mut queue.waiting), queue.known.take())
@@ -106,7 +106,7 @@
             for (index, job) in batch.into_iter().enumerate() {
                 let verdict = match &verdicts {
                     Ok(verdicts) => Ok(verdicts[index].clone()),
-                    Err(_) => Err(OUTAGE_TIME),
+                    Err(_) => Err(OUTAGE_BACKOFF),
                 };
                 let _ = job.reply.send(verdict);
             }
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Writes one batch under the shard's version. A conflict, or an answer that was lost, only
-    /// means reading again: a record of ours that is found there has taken effect.
+    /// Writes one batch by compare-and-set on the shard's version. After a conflict, or one write
+    /// without an answer, the shard is read again: if it holds our record, that write took effect.
     async fn write_batch(
         &self,
         shard: u64,
@@ -127,8 +127,8 @@
         mut known: Option<(u64, RecordShard)>,
     ) -> (PlatformResult<Vec<RecordVerdict>>, Option<(u64, RecordShard)>) {
         let name = format!("shard-{shard:02}");
-        let mut last = PlatformError::Missing;
-        let mut lost_once = false;
+        let mut last_failure = PlatformError::Missing;
+        let mut was_unanswered = false;
         for _ in 0..WRITE_ATTEMPTS {
             let (version, old) = match known.take() {
                 Some(known) => known,
@@ -145,15 +145,15 @@
             }
             match self.platform.put(RECORD_KIND, &name, version, &new).await {
                 Ok(version) => return (Ok(verdicts), Some((version, new))),
-                Err(failure @ PlatformError::Conflict(_)) => last = failure,
-                Err(failure @ PlatformError::Unanswered(_)) if !lost_once => {
-                    lost_once = true;
-                    last = failure;
+                Err(failure @ PlatformError::Conflict(_)) => last_failure = failure,
+                Err(failure @ PlatformError::Unanswered(_)) if !was_unanswered => {
+                    was_unanswered = true;
+                    last_failure = failure;
                 }
                 Err(failure) => return (Err(failure), None),
             }
         }
-        (Err(last), None)
+        (Err(last_failure), None)
     }
 
     async fn read_shard(&self, name: &str) -> PlatformResult<(u64, RecordShard)> {
@@ -170,7 +170,7 @@
     since.as_millis() as u64
 }
 
-/// A record for one request of this entry.
+/// Creates a record for one request of this entry, with a random operation id.
 pub fn new_record(entry: &str) -> IdempotencyRecord {
     IdempotencyRecord {
         entry: entry.to_owned(),
@@ -179,14 +179,14 @@
     }
 }
 
-/// Sends a change and waits for its verdict.
+/// Sends a change and waits for its result; an error is the time after which to retry.
 pub async fn change(
     sender: &RecordSender,
     change: RecordChange,
 ) -> Result<RecordVerdict, Duration> {
     let (reply, verdict) = oneshot::channel();
     if sender.try_send(RecordJob { change, reply }).is_err() {
-        return Err(OUTAGE_TIME);
+        return Err(OUTAGE_BACKOFF);
     }
-    verdict.await.unwrap_or(Err(OUTAGE_TIME))
+    verdict.await.unwrap_or(Err(OUTAGE_BACKOFF))
 }
--- a/crates/daemon/src/entry/offers.rs
+++ b/crates/daemon/src/entry/offers.rs
@@ -1,4 +1,4 @@
-//! The peers duty of an entry: connections to agents, one stream for each offer.
+//! The peers duty of an entry: keeps connections to agents and sends each offer on its own stream.
 
 use crate::{
     link::{self, PEER_NAME, frames, heartbeat},
@@ -28,28 +28,29 @@
 
 /// Longest wait for a connection to an agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Times that an offer is sent to one address: again only if a restarted agent reset the connection.
+/// Most times that an offer is sent to one address; the second only if a restarted agent reset the
+/// connection.
 const OFFER_ATTEMPTS: usize = 2;
-/// Events of an offer that wait for the caller.
+/// Capacity of the channel with an offer's events.
 const EVENT_DEPTH: usize = 32;
-/// Code with which an entry gives up a stream.
+/// QUIC error code of a stream that the entry cancels.
 const DROPPED_CODE: VarInt = VarInt::from_u32(2);
 
 /// Sends offers to the peers duty.
 pub type OfferSender = mpsc::Sender<OfferJob>;
 
-/// What becomes of an offer.
+/// Progress of an offer.
 #[derive(Debug)]
 pub enum OfferEvent {
-    /// The agent could not be reached: the offer was never sent.
+    /// The agent could not be reached, so the offer was never sent.
     Unsent(String),
     /// A frame from the agent.
     Frame(AgentFrame),
-    /// The stream broke off after the offer was sent.
+    /// The stream failed after the offer was sent.
     Lost(String),
 }
 
-/// An offer to make.
+/// An offer to send to an agent.
 #[derive(Debug)]
 pub struct OfferJob {
     peer: SocketAddr,
@@ -58,17 +59,17 @@
     release: oneshot::Receiver<()>,
 }
 
-/// The caller's end of an offer. Dropping it cancels the offer.
+/// Handle of an offer in flight. Dropping it cancels the offer.
 #[derive(Debug)]
 pub struct OfferHandle {
-    /// What becomes of it.
+    /// The offer's events, ending with the last frame or a failure.
     pub events: mpsc::Receiver<OfferEvent>,
-    /// Releases a reserved request to the target.
+    /// Tells the agent to run a reserved request; `None` once used.
     pub release: Option<oneshot::Sender<()>>,
 }
 
 impl OfferJob {
-    /// An offer to the agent at `peer`, and the handle to follow it.
+    /// Creates an offer to the agent at `peer`, and its handle.
     pub fn new(peer: SocketAddr, offer: OfferFrame) -> (Self, OfferHandle) {
         let (events, receiver) = mpsc::channel(EVENT_DEPTH);
         let (sender, release) = oneshot::channel();
@@ -90,12 +91,13 @@
     logger: Logger,
 }
 
-/// Runs until all senders are gone.
+/// Sends offers until all senders are dropped.
 pub async fn run(settings: Arc<EntrySettings>, mut jobs: mpsc::Receiver<OfferJob>, log: Logger) {
     let endpoint = match link::client_endpoint(settings.listen.ip(), &settings.common.keys) {
         Ok(endpoint) => endpoint,
         Err(error) => {
-            error!(log, "no link to agents"; "step" => "bind", "error" => format!("{error:#}"));
+            error!(log, "cannot open an endpoint for agents"; "step" => "bind",
+                "error" => format!("{error:#}"));
             return;
         }
     };
@@ -124,13 +126,13 @@
         };
         let OpenStream { connection, send, receive, in_flight } = opened;
         let _guard = CountGuard::new(&in_flight);
-        let heard = Cell::new(false);
-        let carried = carry(send, receive, &offer, &events, &mut release, &heard).await;
-        let Err(error) = carried else { return };
-        // The agent was restarted since the connection was made, and resets it. Without a word from
-        // the one before, the offer was at most reserved, so the new process may have it.
+        let is_answered = Cell::new(false);
+        let result = run_offer(send, receive, &offer, &events, &mut release, &is_answered).await;
+        let Err(error) = result else { return };
+        // An agent that has restarted resets the connection to its predecessor. If the predecessor
+        // sent no answer, it at most reserved the request, so the new process may be offered it.
         let is_reset = connection.close_reason() == Some(ConnectionError::Reset);
-        if is_reset && !heard.get() && attempt + 1 < OFFER_ATTEMPTS {
+        if is_reset && !is_answered.get() && attempt + 1 < OFFER_ATTEMPTS {
             continue;
         }
         let text = format!("agent {peer}: {error:#}");
@@ -147,22 +149,22 @@
     in_flight: Arc<AtomicUsize>,
 }
 
-async fn carry(
+async fn run_offer(
     mut send: SendStream,
     mut receive: RecvStream,
     offer: &OfferFrame,
     events: &mpsc::Sender<OfferEvent>,
     release: &mut oneshot::Receiver<()>,
-    heard: &Cell<bool>,
+    is_answered: &Cell<bool>,
 ) -> Result<()> {
     let request = offer.request;
     frames::write(&mut send, &EntryFrame::Offer(Box::new(offer.clone()))).await?;
-    let reading = read_frames(&mut receive, request, events, heard);
+    let reading = read_frames(&mut receive, request, events, is_answered);
     let releasing = async {
         if release.await.is_ok() {
             frames::write(&mut send, &EntryFrame::Run { request }).await?;
         }
-        // Nothing more to say, but the stream stays open: closing it would read as a cancellation.
+        // Keeps the stream open: the agent would take its end for a cancellation.
         std::future::pending::<Result<()>>().await
     };
     let result = tokio::select! {
@@ -184,16 +186,16 @@
     receive: &mut RecvStream,
     request: RequestId,
     events: &mpsc::Sender<OfferEvent>,
-    heard: &Cell<bool>,
+    is_answered: &Cell<bool>,
 ) -> Result<()> {
-    // A frozen agent answers no offer, and its connection may still look alive.
+    // A suspended agent answers no offer although its connection may still look alive.
     let first = timeout(constants::OFFER_TIMEOUT, frames::read::<AgentFrame>(receive)).await;
     let mut next = first.wrap_err("no answer to the offer")??;
-    heard.set(true);
+    is_answered.set(true);
     loop {
-        let frame = next.ok_or_else(|| eyre!("answer broke off"))?;
+        let frame = next.ok_or_else(|| eyre!("the stream ended before the answer"))?;
         // A frame of another request must never reach this caller.
-        ensure!(frame.request() == request, "frame of request {}", frame.request());
+        ensure!(frame.request() == request, "frame of another request, {}", frame.request());
         let is_last = frame.is_last();
         if events.send(OfferEvent::Frame(frame)).await.is_err() || is_last {
             return Ok(());
@@ -217,7 +219,7 @@
         {
             return Ok((known.connection.clone(), Arc::clone(&known.in_flight)));
         }
-        let connecting = self.endpoint.connect(peer, PEER_NAME).wrap_err("begin to connect")?;
+        let connecting = self.endpoint.connect(peer, PEER_NAME).wrap_err("start to connect")?;
         let connection = timeout(CONNECT_TIMEOUT, connecting)
             .await
             .wrap_err("no answer")?
--- a/crates/daemon/src/entry/platform.rs
+++ b/crates/daemon/src/entry/platform.rs
@@ -1,4 +1,5 @@
-//! The platform duty of an entry: follows the configuration, the slots and the host list.
+//! The platform duty of an entry: watches the configuration and the agents' slots, and polls the
+//! host list.
 
 use super::{
     crashes::{self, QuarantinedCalls},
@@ -37,25 +38,25 @@
 };
 use tokio::{sync::watch, task::spawn_local, time::sleep};
 
-/// Least pause between looks at the host list.
+/// Shortest pause between two reads of the host list.
 const HOST_PAUSE: Duration = Duration::from_secs(1);
-/// Size of one host in the list, in bytes.
+/// Approximate size of one host in the list, in bytes.
 const HOST_RECORD_BYTES: f64 = 90.0;
-/// Traffic that the host list may cost an entry, in bytes a second.
+/// Most traffic that reading the host list may cause per entry, in bytes per second.
 const HOST_BYTES_PER_SECOND: f64 = 6_000.0;
 
 /// Sends configurations to the other duties.
 pub type ConfigSender = watch::Sender<Arc<ConfigSnapshot>>;
 
-/// Where the duty passes on what the platform tells.
+/// Channels on which the duty publishes the platform's state.
 pub struct PlatformSenders {
-    /// Configurations.
+    /// The newest configuration.
     pub config: ConfigSender,
-    /// Requests that must not be offered.
+    /// Fingerprints of quarantined requests.
     pub(crate) quarantined: watch::Sender<QuarantinedCalls>,
 }
 
-/// Runs the duty's actors for as long as the process lives.
+/// Runs the duty's actors until the process ends.
 pub async fn run(
     settings: Arc<EntrySettings>,
     senders: PlatformSenders,
@@ -96,12 +97,13 @@
     spawn_local(announce(Arc::clone(&settings), platform.clone(), logger.clone()));
     spawn_local(join::join_from_peers(settings, fetcher.clone(), targets, signals.clone(), logger));
     loop {
-        signals.refresh_asked().await;
+        signals.refresh_requested().await;
         let _ = fetcher.cast(FetchMessage::Newest);
     }
 }
 
-/// Tells operators where the admin pages are; the command-line tool asks there.
+/// Writes this entry's addresses to the platform, where the command-line tool looks up the admin
+/// address.
 async fn announce(settings: Arc<EntrySettings>, platform: PlatformClient, logger: Logger) {
     let common = &settings.common;
     let record = EntryRecord {
@@ -133,20 +135,20 @@
     }
 }
 
-/// News for the [`ConfigFetcher`].
+/// Messages to the [`ConfigFetcher`].
 pub(super) enum FetchMessage {
-    /// Read the newest configuration.
+    /// Reads the newest configuration.
     Newest,
-    /// Read the configuration that a root names.
-    Named(ConfigRoot),
-    /// Take a configuration that a peer has told.
-    Told(Box<ConfigSnapshot>),
+    /// Reads the parts that this root lists.
+    Root(ConfigRoot),
+    /// Uses a configuration received from a peer.
+    FromPeer(Box<ConfigSnapshot>),
 }
 
-/// Asks for the next look.
-struct LookMessage;
+/// Triggers the next poll of the watch.
+struct PollMessage;
 
-/// Reads the configuration and passes it on; only ever to a higher revision.
+/// Reads the configuration and publishes it if its revision is higher than the known one.
 struct ConfigFetcher {
     store: ConfigStore,
     config: ConfigSender,
@@ -177,10 +179,10 @@
     ) -> Result<(), ActorProcessingErr> {
         let known = Arc::clone(&self.config.borrow());
         let fetched = match message {
-            FetchMessage::Named(root) if root.revision <= known.revision() => return Ok(()),
-            FetchMessage::Named(root) => self.store.complete(root, &known).await,
+            FetchMessage::Root(root) if root.revision <= known.revision() => return Ok(()),
+            FetchMessage::Root(root) => self.store.complete(root, &known).await,
             FetchMessage::Newest => self.store.snapshot(&known).await,
-            FetchMessage::Told(snapshot) => Ok(*snapshot),
+            FetchMessage::FromPeer(snapshot) => Ok(*snapshot),
         };
         match fetched {
             Ok(snapshot) => {
@@ -211,7 +213,7 @@
     }
 }
 
-/// Watches the root and has it fetched when it changes.
+/// Watches the configuration root and sends each change to the [`ConfigFetcher`].
 struct ConfigWatcher {
     platform: PlatformClient,
     fetcher: ActorRef<FetchMessage>,
@@ -219,44 +221,44 @@
 }
 
 impl Actor for ConfigWatcher {
-    type Msg = LookMessage;
+    type Msg = PollMessage;
     type State = KindWatch<ConfigRoot>;
     type Arguments = ();
 
     async fn pre_start(
         &self,
-        myself: ActorRef<LookMessage>,
+        myself: ActorRef<PollMessage>,
         (): (),
     ) -> Result<Self::State, ActorProcessingErr> {
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(KindWatch::new(self.platform.clone(), ROOT_KIND, self.logger.clone()))
     }
 
     async fn handle(
         &self,
-        myself: ActorRef<LookMessage>,
-        _message: LookMessage,
+        myself: ActorRef<PollMessage>,
+        _message: PollMessage,
         watch: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
         if let Some(root) = watch.next().await.into_iter().find_map(|item| item.value) {
-            self.fetcher.cast(FetchMessage::Named(root))?;
+            self.fetcher.cast(FetchMessage::Root(root))?;
         }
-        myself.cast(LookMessage)?;
+        myself.cast(PollMessage)?;
         Ok(())
     }
 }
 
-/// News for the [`TargetFollower`].
+/// Messages to the [`TargetFollower`].
 pub(super) enum TargetMessage {
-    /// Slots that changed.
+    /// Slots that changed or were removed.
     Slots(Vec<ObjectRecord<SlotRecord>>),
-    /// The host list.
+    /// The complete host list.
     Hosts(Vec<HostRecord>),
-    /// Targets that a peer has told; what the platform says goes before it.
-    Told(Vec<TargetRecord>),
+    /// Targets received from a peer; those known from the platform take precedence.
+    FromPeer(Vec<TargetRecord>),
 }
 
-/// Joins the slots and the host list to the targets that may be offered to.
+/// Merges the slots and the host list into the list of targets, and sends it to the decisions duty.
 struct TargetFollower {
     decisions: DecisionSender,
     logger: Logger,
@@ -265,17 +267,17 @@
 #[derive(Default)]
 struct TargetDirectory {
     slots: BTreeMap<String, TargetRecord>,
-    leaving: HashSet<String>,
+    leaving_hosts: HashSet<String>,
     sent: Vec<TargetRecord>,
 }
 
 impl TargetDirectory {
     fn targets(&self) -> Vec<TargetRecord> {
-        let join = |(name, record): (&String, &TargetRecord)| TargetRecord {
-            leaving: record.leaving || self.leaving.contains(name),
+        let merge = |(name, record): (&String, &TargetRecord)| TargetRecord {
+            leaving: record.leaving || self.leaving_hosts.contains(name),
             ..record.clone()
         };
-        self.slots.iter().map(join).collect()
+        self.slots.iter().map(merge).collect()
     }
 
     fn take(&mut self, message: TargetMessage) {
@@ -288,14 +290,14 @@
                     };
                 }
             }
-            TargetMessage::Told(targets) => {
+            TargetMessage::FromPeer(targets) => {
                 for target in targets {
                     self.slots.entry(target.name.to_string()).or_insert(target);
                 }
             }
             TargetMessage::Hosts(hosts) => {
                 let leaving = hosts.into_iter().filter(|host| host.state == HostState::Leaving);
-                self.leaving = leaving.map(|host| host.name).collect();
+                self.leaving_hosts = leaving.map(|host| host.name).collect();
             }
         }
     }
@@ -331,7 +333,7 @@
     }
 }
 
-/// Watches the slots: they change only when an agent starts or stops.
+/// Watches the slots, which change only when an agent starts or stops.
 async fn watch_slots(platform: PlatformClient, follower: ActorRef<TargetMessage>, logger: Logger) {
     let mut watch = KindWatch::<SlotRecord>::new(platform, SLOT_KIND, logger);
     loop {
@@ -339,15 +341,16 @@
     }
 }
 
-/// Reads the host list, at a pace that its size sets: the list is only the third to know of a
-/// leaving target, after its refusals and its slot, and must not use up the control traffic.
+/// Polls the host list; the pause grows with its size, so that it does not use up the control
+/// traffic. A slow poll is enough: a draining target also shows by its refusals and in its slot,
+/// both earlier.
 async fn poll_hosts(platform: PlatformClient, follower: ActorRef<TargetMessage>, logger: Logger) {
     let mut pause = HOST_PAUSE;
     loop {
         match platform.hosts().await {
             Ok(hosts) => {
-                let paced = hosts.len() as f64 * HOST_RECORD_BYTES / HOST_BYTES_PER_SECOND;
-                pause = HOST_PAUSE.max(Duration::from_secs_f64(paced));
+                let paced_pause = hosts.len() as f64 * HOST_RECORD_BYTES / HOST_BYTES_PER_SECOND;
+                pause = HOST_PAUSE.max(Duration::from_secs_f64(paced_pause));
                 let _ = follower.cast(TargetMessage::Hosts(hosts));
             }
             Err(failure) => {
--- a/crates/daemon/src/entry/replays.rs
+++ b/crates/daemon/src/entry/replays.rs
@@ -1,4 +1,4 @@
-//! First answers to keyed non-idempotent requests, held for the caller's own retries.
+//! Cache of answers to non-idempotent requests with an idempotency key, for the caller's retries.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Response, StatusCode};
@@ -11,24 +11,25 @@
 };
 use tokio::sync::watch;
 
-/// Answers held.
+/// Most keys in the table; beyond it the oldest are evicted.
 const REPLAY_LIMIT: usize = 2_048;
-/// Largest body that is held; a retry of a larger one is told that it ran.
-const REPLAY_BODY: usize = 8 << 10;
+/// Largest body in bytes that is cached. A retry of a request with a larger answer gets an error
+/// that says that it ran.
+const REPLAY_BODY_LIMIT: usize = 8 << 10;
 
-/// An answer that can be given again.
+/// A complete answer, cached for retries.
 #[derive(Clone, Debug)]
-pub struct HeldAnswer {
+pub struct CachedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl HeldAnswer {
-    /// Copies an answer that came whole; `None` if it is too large or a stream.
+impl CachedAnswer {
+    /// Copies a complete answer; `None` if it is too large or a stream.
     pub fn copy(reply: &HttpReply) -> Option<Self> {
         match reply.body() {
-            ReplyBody::Whole(Some(body)) if body.len() <= REPLAY_BODY => Some(Self {
+            ReplyBody::Whole(Some(body)) if body.len() <= REPLAY_BODY_LIMIT => Some(Self {
                 status: reply.status(),
                 headers: reply.headers().clone(),
                 body: body.clone(),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The answer again.
+    /// The cached answer as a reply to a retry.
     pub fn reply(&self) -> HttpReply {
         let mut reply = Response::new(ReplyBody::new(self.body.clone()));
         *reply.status_mut() = self.status;
@@ -46,13 +47,13 @@
     }
 }
 
-/// How the first request of a key stands.
+/// State of the first request with a key.
 #[derive(Clone, Debug)]
 pub enum FirstRequest {
-    /// It is under way.
+    /// It is in flight.
     Running,
-    /// It was answered; the answer may have been too large to hold.
-    Answered(Option<HeldAnswer>),
+    /// It was answered; `None` if the answer was too large to cache.
+    Answered(Option<CachedAnswer>),
     /// It ended without an answer.
     Failed,
 }
@@ -63,7 +64,7 @@
     order: VecDeque<(Instant, RecordKey)>,
 }
 
-/// First requests of this entry, by key.
+/// First requests with each key at this entry.
 #[derive(Clone, Default)]
 pub struct ReplayTable(Arc<Mutex<ReplayState>>);
 
@@ -74,7 +75,7 @@
 }
 
 impl ReplayTable {
-    /// Notes a first request, or returns how the one before it stands.
+    /// Adds a first request, or returns the state of an earlier request with the same key.
     pub fn begin(&self, key: &RecordKey) -> Result<ReplayGuard, watch::Receiver<FirstRequest>> {
         let mut state = self.lock();
         state.prune();
@@ -105,7 +106,7 @@
     }
 }
 
-/// Tells waiting retries how the first request ended, also when its caller went away.
+/// Notifies waiting retries of the first request's end, also when its caller disconnects.
 pub struct ReplayGuard {
     table: ReplayTable,
     key: RecordKey,
@@ -113,12 +114,13 @@
 }
 
 impl ReplayGuard {
-    /// It was answered.
+    /// Records the answer.
     pub fn answered(mut self, reply: &HttpReply) {
-        self.end = Some(FirstRequest::Answered(HeldAnswer::copy(reply)));
+        self.end = Some(FirstRequest::Answered(CachedAnswer::copy(reply)));
     }
 
-    /// It was provably not run, so that the next request with the key is a first one again.
+    /// Removes the key, as the request was provably not run: the next one counts as a first
+    /// request.
     pub fn not_run(mut self) {
         self.end = None;
     }
--- a/crates/daemon/src/entry/reply.rs
+++ b/crates/daemon/src/entry/reply.rs
@@ -1,5 +1,5 @@
-//! Answers that the entry gives itself. Every error is JSON, says what to do, and whether the
-//! request ran.
+//! Error answers of the entry itself. Each is JSON and says what is wrong, what to do, and whether
+//! the request ran.
 
 use hyper::{
     Method, StatusCode,
@@ -13,21 +13,21 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Retry advice, in milliseconds; `Retry-After` counts in seconds only.
+/// Time in milliseconds after which to retry; `Retry-After` has seconds only.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
-/// An error as the caller sees it.
+/// An error answer to a caller.
 #[derive(Clone, Debug)]
 pub struct RequestError {
-    /// HTTP status.
+    /// HTTP status code of the answer.
     pub status: StatusCode,
-    /// A short name for programs.
+    /// Machine-readable name of the error, also a label of the refusal metrics.
     pub kind: &'static str,
-    /// What is wrong and what to do.
+    /// Text for people: what is wrong and what to do.
     pub message: String,
-    /// Whether the request ran.
+    /// Whether the request provably did not run, or may have run.
     pub outcome: RunOutcome,
-    /// When it is worth asking again.
+    /// Time after which to retry; `None` if a retry would not help or the time is unknown.
     pub retry_after: Option<Duration>,
     allow: Option<Method>,
 }
@@ -44,29 +44,29 @@
         }
     }
 
-    /// The path leads nowhere.
+    /// The path is not served.
     pub fn unknown_path(path: &str) -> Self {
         let message = format!(
-            "there is nothing at {path}; use /v1/chat/completions, /v1/completions, /v1/models or \
+            "path {path} does not exist; use /v1/chat/completions, /v1/completions, /v1/models or \
              /services/<name>/<path>"
         );
         Self::refused(StatusCode::NOT_FOUND, "unknown_path", message)
     }
 
-    /// The path takes another method.
+    /// The path does not accept the request's method.
     pub fn wrong_method(path: &str, wanted: &Method) -> Self {
-        let message = format!("{path} takes {wanted}");
+        let message = format!("{path} accepts only {wanted}");
         let error = Self::refused(StatusCode::METHOD_NOT_ALLOWED, "wrong_method", message);
         Self { allow: Some(wanted.clone()), ..error }
     }
 
-    /// No such service is configured.
+    /// No service with this name is configured.
     pub fn unknown_service(name: &str) -> Self {
         let message = format!("there is no service `{name}`; check the name below /services/");
         Self::refused(StatusCode::NOT_FOUND, "unknown_service", message)
     }
 
-    /// The body is not the JSON that the call takes.
+    /// The body is not a valid JSON request.
     pub fn malformed_body(error: &serde_json::Error) -> Self {
         let message = format!("the body is not a valid JSON request: {error}");
         Self::refused(StatusCode::BAD_REQUEST, "malformed_body", message)
@@ -79,18 +79,18 @@
         Self::refused(StatusCode::BAD_REQUEST, "missing_model", message)
     }
 
-    /// `model` is not a selector.
+    /// `model` does not parse as `name` or `name@version`.
     pub fn bad_model(error: &str) -> Self {
         Self::refused(StatusCode::BAD_REQUEST, "bad_model", format!("`model`: {error}"))
     }
 
-    /// No such adapter is configured.
+    /// No adapter with this name is configured.
     pub fn unknown_adapter(name: &str) -> Self {
-        let message = format!("there is no adapter `{name}`; /v1/models lists those there are");
+        let message = format!("there is no adapter `{name}`; /v1/models lists all adapters");
         Self::refused(StatusCode::NOT_FOUND, "unknown_adapter", message)
     }
 
-    /// The adapter has no such version.
+    /// The adapter does not have the selected version; the message lists those it has.
     pub fn unknown_version(selector: &ModelSelector, known: &[AdapterVersion]) -> Self {
         let version = selector.version.unwrap_or_default();
         let message =
@@ -98,12 +98,12 @@
         Self::refused(StatusCode::NOT_FOUND, "unknown_version", message)
     }
 
-    /// A header has a bad value.
+    /// A header has an invalid value.
     pub fn bad_header(name: &str, problem: &str) -> Self {
         Self::refused(StatusCode::BAD_REQUEST, "bad_header", format!("header `{name}`: {problem}"))
     }
 
-    /// No key was given.
+    /// The request carries no caller's key although callers are configured.
     pub fn missing_key() -> Self {
         let message = "send the caller's key as `Authorization: Bearer <key>`";
         Self::refused(StatusCode::UNAUTHORIZED, "missing_key", message)
@@ -114,25 +114,26 @@
         Self::refused(StatusCode::UNAUTHORIZED, "unknown_key", "this key belongs to no caller")
     }
 
-    /// The body is too large.
+    /// The body is larger than `limit` bytes.
     pub fn body_too_large(limit: usize) -> Self {
-        let message = format!("the body is over {limit} bytes; send less");
+        let message = format!("the body is larger than {limit} bytes");
         Self::refused(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
     }
 
-    /// The body did not arrive.
+    /// The body did not arrive completely, or not in time.
     pub fn body_incomplete(problem: &str) -> Self {
-        let message = format!("the body did not arrive whole: {problem}");
+        let message = format!("the body is incomplete: {problem}");
         Self::refused(StatusCode::REQUEST_TIMEOUT, "body_incomplete", message)
     }
 
-    /// The entry is stopping or holds all the requests that it can.
+    /// The entry has no free slot, or could not resolve the request with a configuration as new as
+    /// the agents'.
     pub fn entry_busy(retry_after: Duration) -> Self {
         let proof = NotRunProof::never_offered(RefusalReason::EntryBusy, Some(retry_after));
         Self::not_run(&proof)
     }
 
-    /// The request was given up on and provably not run.
+    /// The request failed and provably did not run.
     pub fn not_run(proof: &NotRunProof) -> Self {
         let reason = proof.reason();
         let message = format!("not run: {}; {}", reason.name(), advice(reason));
@@ -156,11 +157,11 @@
         }
     }
 
-    /// Another entry has a request with this key.
+    /// Another entry has recorded a request with this key.
     pub fn key_taken(entry: &str) -> Self {
         let message = format!(
-            "a request with this idempotency key was taken by {entry}, which may have run it; ask \
-             there for its answer"
+            "a request with this idempotency key was accepted by {entry}, which may have run it; \
+             retry there for its answer"
         );
         Self {
             outcome: RunOutcome::Unknown,
@@ -168,29 +169,29 @@
         }
     }
 
-    /// The first request with this key was answered, but its answer is not held.
+    /// The first request with this key was answered, but its answer is not cached.
     pub fn already_answered() -> Self {
         let message = "a request with this idempotency key has run; its answer was too large to \
-                       be held";
+                       be cached";
         Self {
             outcome: RunOutcome::Unknown,
             ..Self::refused(StatusCode::CONFLICT, "already_answered", message)
         }
     }
 
-    /// The first request with this key was not run, and neither was this one.
+    /// Neither the first request with this key nor this one was run.
     pub fn first_not_run() -> Self {
-        let message = "not run: neither was the earlier request with this key; ask again";
+        let message = "not run: neither was the earlier request with this key; retry";
         Self {
             retry_after: Some(Duration::ZERO),
             ..Self::refused(StatusCode::SERVICE_UNAVAILABLE, "first_not_run", message)
         }
     }
 
-    /// The request's key cannot be recorded now, so it is not run.
+    /// The request's key cannot be recorded now, so the request is not run.
     pub fn keys_unavailable(retry_after: Duration) -> Self {
-        let message = "not run: the platform, which keeps idempotency keys, does not answer; ask \
-                       again after the time given";
+        let message = "not run: the platform, which stores idempotency keys, does not answer; \
+                       retry after the given time";
         Self {
             retry_after: Some(retry_after),
             ..Self::refused(StatusCode::SERVICE_UNAVAILABLE, "keys_unavailable", message)
@@ -206,7 +207,7 @@
         }
     }
 
-    /// The error's JSON.
+    /// The error as JSON, as in the body of the answer and in the error event of a stream.
     pub fn body(&self) -> Value {
         let retry = self.retry_after.map(|delay| delay.as_millis() as u64);
         json!({"error": {
@@ -215,7 +216,7 @@
         }})
     }
 
-    /// The error as an answer.
+    /// The error as an HTTP answer.
     pub fn reply(&self) -> HttpReply {
         let mut reply = json_reply(self.status, &self.body());
         let headers = reply.headers_mut();
@@ -234,15 +235,13 @@
 
 fn advice(reason: RefusalReason) -> &'static str {
     match reason {
-        RefusalReason::TooLate => "the deadline could not be met; ask again with a later one",
-        RefusalReason::PresetClosed => "the preset in force does not admit this priority",
-        RefusalReason::LoadFailed => "the adapter could not be loaded; ask again",
-        RefusalReason::Unreachable | RefusalReason::TargetDown => {
-            "no target can take it now; ask again"
-        }
+        RefusalReason::TooLate => "the deadline could not be met; retry with a later one",
+        RefusalReason::PresetClosed => "the active preset does not admit this priority",
+        RefusalReason::LoadFailed => "the adapter could not be loaded; retry",
+        RefusalReason::Unreachable | RefusalReason::TargetDown => "no target can run it now; retry",
         RefusalReason::HeldBack => {
-            "targets have ended while they ran this request; it is not run before the time given"
+            "targets crashed while they ran this request; it is quarantined for the given time"
         }
-        _ => "ask again after the time given",
+        _ => "retry after the given time",
     }
 }
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! Reading callers' requests: what they ask for, and what is wrong with them.
+//! Parses and validates callers' requests.
 
 use super::reply::RequestError;
 use bytes::Bytes;
@@ -20,21 +20,22 @@
 use sha2::{Digest, Sha256};
 use std::{borrow::Cow, time::Duration};
 
-/// Header with the importance of a request.
+/// Header with the priority of a request.
 pub const PRIORITY_HEADER: &str = "x-plantain-priority";
-/// Header with the deadline in milliseconds from now.
+/// Header with the deadline, in milliseconds from the request's arrival.
 pub const DEADLINE_HEADER: &str = "x-plantain-deadline-ms";
-/// Header with the key that makes retries of a call the same call.
+/// Header with the idempotency key; retries carry the same key.
 pub const KEY_HEADER: &str = "idempotency-key";
 /// Header with the request's id.
 pub const ID_HEADER: &str = "x-request-id";
-/// Longest idempotency key or request id.
+/// Longest idempotency key or request id, in bytes.
 const TOKEN_LIMIT: usize = 200;
-/// Caller of requests when no callers are configured.
+/// Caller's name in requests while no callers are configured.
 const ANONYMOUS: &str = "anonymous";
-/// Start of the paths of plain services.
+/// Path prefix of services.
 const SERVICES_PATH: &str = "/services/";
-/// Headers that end at this hop (RFC 9110, section 7.6.1), or that this system writes itself.
+/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1), and those that
+/// this system writes itself.
 const DROPPED_HEADERS: [&str; 13] = [
     "connection",
     "keep-alive",
@@ -51,23 +52,24 @@
     "authorization",
 ];
 
-/// A request that may be offered.
+/// A valid request, resolved with one revision of the configuration.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
-    /// What to run.
+    /// The adapter or service that it needs.
     pub work: WorkItem,
-    /// Who asks.
+    /// The caller whose key it carries, or `anonymous`.
     pub caller: CallerName,
-    /// The caller's weight.
+    /// The caller's weight in fair queueing; 1 if no callers are configured.
     pub share: u32,
-    /// Importance.
+    /// Priority from its header, or the default limited to the caller's highest.
     pub priority: Priority,
     /// Time until the deadline.
     pub time_left: Duration,
     /// Whether running it twice does no harm.
     pub idempotent: bool,
-    /// The key under which it is recorded, if it may not be repeated and the caller named one.
-    /// Without a key no retry can be told from a new request, and each is offered only once anyway.
+    /// The key under which it is recorded, if it is not idempotent and the caller sent a key.
+    /// Without a key a retry cannot be told from a new request; the entry itself never offers a
+    /// non-idempotent request again once it may have run.
     pub record: Option<RecordKey>,
     /// Whether the answer is a stream of events.
     pub streamed: bool,
@@ -85,7 +87,7 @@
     stream: bool,
 }
 
-/// Which calls the path asks for.
+/// The kind of call that a path selects.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RequestPath {
     /// A completion or chat completion.
@@ -97,7 +99,7 @@
 }
 
 impl RequestPath {
-    /// Sorts a request by method and path.
+    /// Parses a request's method and path.
     pub fn new(method: &Method, uri: &Uri) -> Result<Self, RequestError> {
         let path = uri.path();
         let wanted = match path {
@@ -124,7 +126,7 @@
     }
 }
 
-/// Checks a request against the configuration.
+/// Validates a request and resolves its adapter or service with `config`.
 pub fn admit(
     path: RequestPath,
     parts: &Parts,
@@ -153,13 +155,13 @@
         head: RequestHead {
             method: parts.method.to_string(),
             path: parts.uri.path().to_owned(),
-            headers: kept_headers(&parts.headers),
+            headers: forwarded_headers(&parts.headers),
         },
         body: Bytes::new(),
     };
     match path {
-        RequestPath::Service(name, below) => {
-            admit_service(&mut request, &name, below, config)?;
+        RequestPath::Service(name, service_path) => {
+            admit_service(&mut request, &name, service_path, config)?;
             request.body = body;
         }
         _ => admit_completion(&mut request, &body, config)?,
@@ -171,7 +173,7 @@
     Ok(request)
 }
 
-/// What a key is compared within: the same key for another call is another request.
+/// Scope of an idempotency key: the same key in another scope is another request.
 fn key_scope(request: &AdmittedRequest) -> String {
     match &request.work {
         WorkItem::Service { name } => {
@@ -184,14 +186,14 @@
 fn admit_service(
     request: &mut AdmittedRequest,
     name: &str,
-    below: String,
+    service_path: String,
     config: &ConfigSnapshot,
 ) -> Result<(), RequestError> {
     let service = config.service(name).ok_or_else(|| RequestError::unknown_service(name))?;
-    let path = below.split('?').next().unwrap_or("/");
+    let path = service_path.split('?').next().unwrap_or("/");
     request.idempotent = service.is_idempotent(&request.head.method, path);
     request.work = WorkItem::Service { name: service.name.clone() };
-    request.head.path = below;
+    request.head.path = service_path;
     Ok(())
 }
 
@@ -215,7 +217,7 @@
     Ok(())
 }
 
-/// Names the resolved version and the priority in the body that the engine gets.
+/// Writes the resolved adapter version and the priority into the body for the engine.
 fn rewrite_body(body: &Bytes, model: &str, priority: Priority) -> Result<Bytes, RequestError> {
     let mut value: serde_json::Map<String, Value> =
         serde_json::from_slice(body).map_err(|error| RequestError::malformed_body(&error))?;
@@ -225,7 +227,8 @@
     Ok(bytes.into())
 }
 
-/// The caller whose key a request carries. Keys are checked as soon as any caller is configured.
+/// Finds the caller whose key a request carries; `None` if no callers are configured, in which case
+/// keys are not checked.
 pub fn find_caller<'a>(
     headers: &HeaderMap,
     config: &'a ConfigSnapshot,
@@ -237,7 +240,7 @@
     let given = headers.get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let key = given.and_then(|value| value.strip_prefix("Bearer "));
     let key = key.ok_or_else(RequestError::missing_key)?;
-    // Only hashes are compared, so the time that it takes tells nothing of the key.
+    // Only hashes are compared, so the time of the comparison reveals nothing about the key.
     let hash = hex::encode(Sha256::digest(key.trim().as_bytes()));
     let caller = callers.iter().find(|caller| caller.key_sha256.eq_ignore_ascii_case(&hash));
     caller.map(Some).ok_or_else(RequestError::unknown_key)
@@ -254,7 +257,7 @@
     let priority =
         Priority::parse(text).map_err(|error| RequestError::bad_header(PRIORITY_HEADER, &error))?;
     if priority < highest {
-        let message = format!("this caller may ask for `{}` at most", highest.name());
+        let message = format!("the highest priority of this caller is `{}`", highest.name());
         return Err(RequestError::bad_header(PRIORITY_HEADER, &message));
     }
     Ok(priority)
@@ -287,15 +290,18 @@
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(RequestError::bad_header(name, "it is given more than once"));
+        return Err(RequestError::bad_header(name, "it is sent more than once"));
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text.trim())),
-        Err(_) => Err(RequestError::bad_header(name, "it holds characters outside ASCII")),
+        Err(_) => {
+            Err(RequestError::bad_header(name, "it contains characters outside printable ASCII"))
+        }
     }
 }
 
-fn kept_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
+/// Headers for the target: without those in [`DROPPED_HEADERS`] or listed in `connection`.
+fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Bytes)> {
     let named: Vec<&str> = headers
         .get_all("connection")
         .iter()
@@ -303,13 +309,13 @@
         .flat_map(|value| value.split(','))
         .map(str::trim)
         .collect();
-    let is_kept = |name: &HeaderName| {
+    let is_forwarded = |name: &HeaderName| {
         !DROPPED_HEADERS.contains(&name.as_str())
             && !named.iter().any(|named| named.eq_ignore_ascii_case(name.as_str()))
     };
     headers
         .iter()
-        .filter(|(name, _)| is_kept(name))
+        .filter(|(name, _)| is_forwarded(name))
         .map(|(name, value)| (name.to_string(), Bytes::copy_from_slice(value.as_bytes())))
         .collect()
 }
--- a/crates/daemon/src/entry/status.rs
+++ b/crates/daemon/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an entry's admin pages show.
+//! State that an entry's admin pages show.
 
 use super::decisions::{DecisionCommand, DecisionSender};
 use crate::{options::EntrySettings, telemetry::StatusSource};
@@ -16,7 +16,7 @@
 };
 use tokio::sync::{Notify, oneshot, watch};
 
-/// The entry's state for the admin pages, and the signals between its duties.
+/// Sources of the admin pages: settings, configuration, routing state, and the duties' signals.
 #[derive(Clone, Debug)]
 pub struct EntryStatus {
     settings: Arc<EntrySettings>,
@@ -27,7 +27,7 @@
     started: Instant,
 }
 
-/// Signals between the duties, and the counts that the pages show.
+/// Signals between the duties, and the error budget counts.
 #[derive(Debug, Default)]
 pub struct EntrySignals {
     burn: Mutex<BurnLedger>,
@@ -36,24 +36,24 @@
 }
 
 impl EntrySignals {
-    /// Notes that the configuration and the targets have been read.
+    /// Marks the configuration as read, which makes the entry ready.
     pub fn set_loaded(&self) {
         self.loaded.store(true, Ordering::Release);
     }
 
-    /// Whether the configuration and the targets have been read.
+    /// Whether a configuration has been read.
     pub fn is_loaded(&self) -> bool {
         self.loaded.load(Ordering::Acquire)
     }
 
-    /// Waits until a newer configuration is asked for.
-    pub async fn refresh_asked(&self) {
+    /// Waits until a duty requests a newer configuration.
+    pub async fn refresh_requested(&self) {
         self.refresh.notified().await;
     }
 }
 
 impl EntryStatus {
-    /// Joins what the pages show.
+    /// Creates the status of an entry that starts now.
     pub fn new(
         settings: Arc<EntrySettings>,
         config: watch::Receiver<Arc<ConfigSnapshot>>,
@@ -64,20 +64,20 @@
         Self { settings, config, decisions, stopping, signals, started: Instant::now() }
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process has received a stop signal.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Takes one ended request into the report on service-level burn.
+    /// Counts one ended request in the report on error budget burn.
     pub fn record(&self, outcome: &RequestOutcome) {
         let objectives = self.config.borrow().preset().objectives;
         let mut burn = self.signals.burn.lock().expect("no panic while locked");
         burn.record(outcome, &objectives, self.started.elapsed());
     }
 
-    /// Asks the platform duty for a newer configuration.
-    pub fn ask_refresh(&self) {
+    /// Requests a newer configuration from the platform duty.
+    pub fn request_refresh(&self) {
         self.signals.refresh.notify_one();
     }
 }
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -24,7 +24,7 @@
 /// stream that the peer may open, so a high limit costs memory on every idle connection.
 const STREAM_LIMIT: u32 = 128;
 /// Time after which an unused connection is closed, so that an entry keeps connections only to the
-/// agents that it uses and not to the whole fleet.
+/// agents that it uses and not to the entire fleet.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Flow-control window of one stream, in bytes. Bounds the memory that a slow caller can take.
 const STREAM_WINDOW: u32 = 256 << 10;
@@ -33,7 +33,7 @@
 /// Round-trip time assumed before the first sample; far below the default for the internet.
 const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(10);
 
-/// Creates an endpoint that connects to agents and to other entries.
+/// Creates an endpoint that connects to peers.
 pub fn client_endpoint(bind: IpAddr, keys: &PeerKeys) -> Result<Endpoint> {
     let mut endpoint = Endpoint::client(SocketAddr::new(bind, 0)).wrap_err("bind QUIC client")?;
     let crypto = quinn::crypto::rustls::QuicClientConfig::try_from(keys.client_config()?)
