--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -53,12 +53,12 @@
         let (ended_sender, ended) = watch::channel(false);
         let (quarantine_sender, quarantined) = watch::channel(QuarantinedCalls::default());
 
-        let duty_settings = settings.clone();
-        duty::start("decisions", move || decisions::run(duty_settings, command_receiver))?;
-        let (duty_settings, log) = (settings.clone(), logger.clone());
+        let decision_settings = settings.clone();
+        duty::start("decisions", move || decisions::run(decision_settings, command_receiver))?;
+        let (offer_settings, log) = (settings.clone(), logger.clone());
         // Callers and peers share a thread: each answer passes through both, and a hand-over
         // between threads costs more than the work on either side. See docs/design/threads.md.
-        spawn_local(offers::run(duty_settings, offer_receiver, log));
+        spawn_local(offers::run(offer_settings, offer_receiver, log));
         let (duty_settings, log) = (settings.clone(), logger.clone());
         let (duty_config, commands) = (config.clone(), decisions.clone());
         duty::start("broker", move || broker::run(duty_settings, duty_config, commands, log))?;
@@ -66,8 +66,8 @@
         let (duty_settings, log) = (settings.clone(), logger.clone());
         duty::start("idempotency", move || idempotency::run(duty_settings, record_receiver, log))?;
         let signals = Arc::new(EntrySignals::default());
-        let (duty_settings, commands) = (settings.clone(), decisions.clone());
-        let (duty_signals, log) = (Arc::clone(&signals), logger.clone());
+        let (duty_settings, commands, log) = (settings.clone(), decisions.clone(), logger.clone());
+        let duty_signals = Arc::clone(&signals);
         let senders = PlatformSenders { config: config_sender, quarantined: quarantine_sender };
         duty::start("platform", move || {
             platform::run(duty_settings, senders, commands, duty_signals, log)
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -265,8 +265,8 @@
                     let proof = NotRunProof::never_offered(RefusalReason::Unreachable, None);
                     return Err(OfferResult::NotRun(proof));
                 }
-                Some(OfferEvent::Lost(problem)) => return Err(self.fail_offer(follower, problem)),
-                None => return Err(self.fail_offer(follower, "the peers duty ended".into())),
+                Some(OfferEvent::Lost(problem)) => return Err(self.fail(follower, problem)),
+                None => return Err(self.fail(follower, "the peers duty ended".into())),
             };
             match frame {
                 AgentFrame::Accepted { report, .. } => {
@@ -300,11 +300,9 @@
                     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     return Ok(AnswerHead { status, headers, ran_on, load_stall });
                 }
-                AgentFrame::Failed { message, .. } => {
-                    return Err(self.fail_offer(follower, message));
-                }
+                AgentFrame::Failed { message, .. } => return Err(self.fail(follower, message)),
                 AgentFrame::Chunk { .. } | AgentFrame::End { .. } => {
-                    return Err(self.fail_offer(follower, "the answer has no head".into()));
+                    return Err(self.fail(follower, "the answer has no head".into()));
                 }
             }
         }
@@ -312,7 +310,7 @@
 
     /// Ends an offer that failed. A non-idempotent request that was never released has only a
     /// reservation, which expires, so it was not run.
-    fn fail_offer(&self, follower: &mut OfferFollower, problem: String) -> OfferResult {
+    fn fail(&self, follower: &mut OfferFollower, problem: String) -> OfferResult {
         follower.guard.end(OfferEnd::Failed);
         if !self.request.idempotent && !follower.released {
             return OfferResult::NotRun(NotRunProof::never_released());
@@ -327,7 +325,7 @@
         target: TargetName,
     ) -> OfferResult {
         if let Err(problem) = self.check_ran_on(&head) {
-            return self.fail_offer(&mut follower, problem);
+            return self.fail(&mut follower, problem);
         }
         histogram!(names::LOAD_STALL_SECONDS).record(head.load_stall.as_secs_f64());
         let mut body = BytesMut::new();
@@ -366,10 +364,10 @@
                     return OfferResult::Reply(reply(&head, &target, body));
                 }
                 Some(OfferEvent::Frame(AgentFrame::Failed { message, .. })) => {
-                    return self.fail_offer(&mut follower, message);
+                    return self.fail(&mut follower, message);
                 }
-                Some(OfferEvent::Lost(problem)) => return self.fail_offer(&mut follower, problem),
-                _ => return self.fail_offer(&mut follower, "the answer ended early".into()),
+                Some(OfferEvent::Lost(problem)) => return self.fail(&mut follower, problem),
+                _ => return self.fail(&mut follower, "the answer ended early".into()),
             }
         }
     }
