--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -1,4 +1,5 @@
-//! The callers duty of an entry: accepts HTTP requests, has each one run, and writes the answers.
+//! The callers duty of an entry: accepts callers' HTTP requests, offers them to agents, and sends
+//! the answers back.
 
 use super::{
     crashes::QuarantinedCalls,
@@ -50,7 +51,8 @@
     time::{sleep, timeout},
 };
 
-/// `Retry-After` of requests that the entry refuses because all its slots are in use.
+/// `Retry-After` of requests that are refused because the entry has no free slot, agents keep
+/// reporting newer configurations, or the shard of the idempotency record is full.
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Time for which a stopping entry still accepts connections, so that the load balancer sees that
 /// it is not ready before a caller's connection is refused.
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -4,7 +4,7 @@
     callers::CallerContext,
     crashes::request_fingerprint,
     decisions::{DecisionCommand, OfferEnd},
-    follow::{OfferFollower, OfferGuard},
+    follow::{OfferGuard, PendingOffer},
     forward::Forward,
     offers::{OfferEvent, OfferJob},
     reply::RequestError,
@@ -218,17 +218,17 @@
             return OfferResult::NotRun(busy);
         }
         let limit = self.time_left() + DEADLINE_GRACE;
-        let mut follower = OfferFollower { handle, guard, released: false };
-        let head = match timeout(limit, self.await_head(&mut follower)).await {
+        let mut offer = PendingOffer { handle, guard, released: false };
+        let head = match timeout(limit, self.await_head(&mut offer)).await {
             Ok(Ok(head)) => head,
             Ok(Err(result)) => return result,
-            Err(_) => return self.after_deadline(&follower),
+            Err(_) => return self.after_deadline(&offer),
         };
-        self.deliver(head, follower, choice.target).await
+        self.deliver(head, offer, choice.target).await
     }
 
-    fn after_deadline(&self, follower: &OfferFollower) -> OfferResult {
-        if !self.request.idempotent && !follower.released {
+    fn after_deadline(&self, offer: &PendingOffer) -> OfferResult {
+        if !self.request.idempotent && !offer.released {
             return OfferResult::NotRun(NotRunProof::never_released());
         }
         OfferResult::Lost("the deadline passed".into())
@@ -256,21 +256,21 @@
     }
 
     /// Handles an offer's events up to the head of its answer.
-    async fn await_head(&self, follower: &mut OfferFollower) -> Result<AnswerHead, OfferResult> {
+    async fn await_head(&self, offer: &mut PendingOffer) -> Result<AnswerHead, OfferResult> {
         loop {
-            let frame = match follower.handle.events.recv().await {
+            let frame = match offer.handle.events.recv().await {
                 Some(OfferEvent::Frame(frame)) => frame,
                 Some(OfferEvent::Unsent(_)) => {
-                    follower.guard.end(OfferEnd::Failed);
+                    offer.guard.end(OfferEnd::Failed);
                     let proof = NotRunProof::never_offered(RefusalReason::Unreachable, None);
                     return Err(OfferResult::NotRun(proof));
                 }
-                Some(OfferEvent::Lost(problem)) => return Err(self.fail(follower, problem)),
-                None => return Err(self.fail(follower, "the peers duty ended".into())),
+                Some(OfferEvent::Lost(problem)) => return Err(self.fail(offer, problem)),
+                None => return Err(self.fail(offer, "the peers duty ended".into())),
             };
             match frame {
                 AgentFrame::Accepted { report, .. } => {
-                    follower.guard.report(report);
+                    offer.guard.report(report);
                     // If this process was suspended, its idempotency record may have expired, and
                     // another entry may have run the key since. Deadlines are shorter than the
                     // record's window, so a request within its deadline still has its record. A
@@ -279,30 +279,30 @@
                         return Err(OfferResult::NotRun(NotRunProof::never_released()));
                     }
                     if !self.request.idempotent
-                        && let Some(release) = follower.handle.release.take()
+                        && let Some(release) = offer.handle.release.take()
                     {
-                        follower.released = true;
+                        offer.released = true;
                         let _ = release.send(());
                     }
                 }
                 AgentFrame::Refused { refusal, report, .. } => {
                     let revision = report.revision;
-                    follower.guard.report(report);
+                    offer.guard.report(report);
                     counter!(names::REFUSALS, "reason" => refusal.reason.name()).increment(1);
                     let result = match refusal.reason {
                         RefusalReason::ConfigBehind => OfferResult::ConfigBehind(revision),
                         _ => OfferResult::NotRun(NotRunProof::from_refusal(&refusal)),
                     };
-                    follower.guard.end(OfferEnd::Refused(refusal));
+                    offer.guard.end(OfferEnd::Refused(refusal));
                     return Err(result);
                 }
                 AgentFrame::Head { status, headers, ran_on, load_stall, .. } => {
                     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     return Ok(AnswerHead { status, headers, ran_on, load_stall });
                 }
-                AgentFrame::Failed { message, .. } => return Err(self.fail(follower, message)),
+                AgentFrame::Failed { message, .. } => return Err(self.fail(offer, message)),
                 AgentFrame::Chunk { .. } | AgentFrame::End { .. } => {
-                    return Err(self.fail(follower, "the answer has no head".into()));
+                    return Err(self.fail(offer, "the answer has no head".into()));
                 }
             }
         }
@@ -310,9 +310,9 @@
 
     /// Ends an offer that failed. A non-idempotent request that was never released has only a
     /// reservation, which expires, so it was not run.
-    fn fail(&self, follower: &mut OfferFollower, problem: String) -> OfferResult {
-        follower.guard.end(OfferEnd::Failed);
-        if !self.request.idempotent && !follower.released {
+    fn fail(&self, offer: &mut PendingOffer, problem: String) -> OfferResult {
+        offer.guard.end(OfferEnd::Failed);
+        if !self.request.idempotent && !offer.released {
             return OfferResult::NotRun(NotRunProof::never_released());
         }
         OfferResult::Lost(problem)
@@ -321,11 +321,11 @@
     async fn deliver(
         &self,
         head: AnswerHead,
-        mut follower: OfferFollower,
+        mut offer: PendingOffer,
         target: TargetName,
     ) -> OfferResult {
         if let Err(problem) = self.check_ran_on(&head) {
-            return self.fail(&mut follower, problem);
+            return self.fail(&mut offer, problem);
         }
         histogram!(names::LOAD_STALL_SECONDS).record(head.load_stall.as_secs_f64());
         let mut body = BytesMut::new();
@@ -333,8 +333,8 @@
         let deadline = tokio::time::Instant::now() + self.time_left() + DEADLINE_GRACE;
         loop {
             let event = tokio::select! {
-                event = follower.handle.events.recv() => event,
-                () = sleep_until(deadline) => return self.after_deadline(&follower),
+                event = offer.handle.events.recv() => event,
+                () = sleep_until(deadline) => return self.after_deadline(&offer),
             };
             match event {
                 Some(OfferEvent::Frame(AgentFrame::Chunk { data, .. })) => {
@@ -346,7 +346,7 @@
                     let (sender, stream) = ReplyBody::channel();
                     let forward = Forward {
                         sender,
-                        follower,
+                        offer,
                         started: self.started,
                         first_chunk: body.freeze(),
                         is_event_stream: self.request.streamed,
@@ -358,16 +358,16 @@
                 Some(OfferEvent::Frame(AgentFrame::End { report, .. })) => {
                     self.record_first_byte();
                     histogram!(names::REQUEST_SECONDS).record(self.started.elapsed().as_secs_f64());
-                    follower.guard.report(report);
-                    follower.guard.end(OfferEnd::Answered);
+                    offer.guard.report(report);
+                    offer.guard.end(OfferEnd::Answered);
                     let body = ReplyBody::new(body.freeze());
                     return OfferResult::Reply(reply(&head, &target, body));
                 }
                 Some(OfferEvent::Frame(AgentFrame::Failed { message, .. })) => {
-                    return self.fail(&mut follower, message);
+                    return self.fail(&mut offer, message);
                 }
-                Some(OfferEvent::Lost(problem)) => return self.fail(&mut follower, problem),
-                _ => return self.fail(&mut follower, "the answer ended early".into()),
+                Some(OfferEvent::Lost(problem)) => return self.fail(&mut offer, problem),
+                _ => return self.fail(&mut offer, "the answer ended early".into()),
             }
         }
     }
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 /// An offer in flight.
-pub(super) struct OfferFollower {
+pub(super) struct PendingOffer {
     /// Receives the agent's events and releases a reserved request.
     pub(super) handle: OfferHandle,
     /// Reports the offer's end to the decisions duty.
--- a/crates/daemon/src/entry/forward.rs
+++ b/crates/daemon/src/entry/forward.rs
@@ -1,6 +1,6 @@
 //! Streams an answer to the caller.
 
-use super::{decisions::OfferEnd, follow::OfferFollower, offers::OfferEvent, reply::RequestError};
+use super::{decisions::OfferEnd, follow::PendingOffer, offers::OfferEvent, reply::RequestError};
 use crate::{options::constants, telemetry::names};
 use bytes::Bytes;
 use metrics::{counter, histogram};
@@ -16,7 +16,7 @@
 /// Forwards an answer to the caller chunk by chunk.
 pub(super) struct Forward {
     pub(super) sender: BodySender,
-    pub(super) follower: OfferFollower,
+    pub(super) offer: PendingOffer,
     pub(super) started: Instant,
     pub(super) first_chunk: Bytes,
     pub(super) is_event_stream: bool,
@@ -32,18 +32,18 @@
                 Ok(Ok(())) => {}
                 // The caller has disconnected, or does not read: the request is cancelled to free
                 // its slot.
-                Ok(Err(_)) | Err(_) => return self.follower.guard.end(OfferEnd::Dropped),
+                Ok(Err(_)) | Err(_) => return self.offer.guard.end(OfferEnd::Dropped),
             }
             let event = tokio::select! {
-                event = self.follower.handle.events.recv() => event,
-                () = self.sender.closed() => return self.follower.guard.end(OfferEnd::Dropped),
+                event = self.offer.handle.events.recv() => event,
+                () = self.sender.closed() => return self.offer.guard.end(OfferEnd::Dropped),
             };
             match event {
                 Some(OfferEvent::Frame(AgentFrame::Chunk { data, .. })) => chunk = data,
                 Some(OfferEvent::Frame(AgentFrame::End { report, .. })) => {
                     histogram!(names::REQUEST_SECONDS).record(self.started.elapsed().as_secs_f64());
-                    self.follower.guard.report(report);
-                    return self.follower.guard.end(OfferEnd::Answered);
+                    self.offer.guard.report(report);
+                    return self.offer.guard.end(OfferEnd::Answered);
                 }
                 Some(OfferEvent::Frame(AgentFrame::Failed { message, .. })) => break message,
                 Some(OfferEvent::Lost(problem)) => break problem,
@@ -57,8 +57,8 @@
     /// a caller that ignores the event must not take the partial answer for a complete one.
     async fn abort(mut self, problem: String) {
         warn!(self.logger, "answer aborted"; "step" => "stream",
-            "peer" => &*self.follower.guard.target, "error" => &problem);
-        self.follower.guard.end(OfferEnd::Failed);
+            "peer" => &*self.offer.guard.target, "error" => &problem);
+        self.offer.guard.end(OfferEnd::Failed);
         counter!(names::REQUESTS, "outcome" => "broken_off").increment(1);
         if self.is_event_stream {
             let error = RequestError::unknown(&problem).body();
