--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -134,7 +134,7 @@
                 Err(proof) => return ExchangeEnd::Error(self.final_error(&last.unwrap_or(proof))),
             };
             let target = choice.target.clone();
-            match self.offer(choice).await {
+            match self.send_offer(choice).await {
                 OfferResult::Reply(reply) => return ExchangeEnd::Reply(reply),
                 OfferResult::ConfigBehind(revision) => return self.resolve_again(revision),
                 OfferResult::NotRun(proof) => {
@@ -210,7 +210,7 @@
         choice.await.map_err(|_| busy())?
     }
 
-    async fn offer(&mut self, choice: RouteChoice) -> OfferResult {
+    async fn send_offer(&mut self, choice: RouteChoice) -> OfferResult {
         let guard = OfferGuard::new(self.context.decisions.clone(), choice.target.clone());
         let (job, handle) = OfferJob::new(choice.peer, self.frame(choice.known_residency));
         if self.context.offers.try_send(job).is_err() {
