--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -40,9 +40,9 @@
         let admin = server::bind(settings.common.admin, "admin address").await?;
         let endpoint = link::server_endpoint(settings.listen, &settings.common.keys)?;
         let mut stopping = duty::stop_signal()?;
-        let (commands, command_receiver) = mpsc::channel(constants::RING_DEPTH);
-        let (jobs, job_receiver) = mpsc::channel(constants::RING_DEPTH);
-        let (permits, permit_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (commands, command_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
+        let (jobs, job_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
+        let (permits, permit_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
         let (entry_sender, entries) = watch::channel(Vec::new());
         let (epoch_sender, epoch) = watch::channel(0);
         let (ended_sender, ended) = watch::channel(false);
--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -52,7 +52,7 @@
 }
 
 impl CrashRecorder {
-    /// Starts without crashes, under a random number for this start of the named agent.
+    /// Starts without crashes. A random number identifies this start of the agent `name`.
     pub(super) fn new(name: &Arc<str>, target: SocketAddr, logger: Logger) -> Rc<Self> {
         let ledger = CrashLedger::new(Arc::clone(name), rand::random());
         let report_sender = watch::channel(Arc::new(ledger.own_report().clone())).0;
@@ -126,7 +126,8 @@
         self.report_sender.send_replace(Arc::new(self.ledger.borrow().own_report().clone()));
     }
 
-    /// The target's current incarnation, named by the agent, its start and the crashes it has seen since.
+    /// The target's current incarnation, identified by the agent's name and start and by the number of ends of the
+    /// target that the agent has detected since.
     fn incarnation(&self) -> TargetIncarnation {
         let ledger = self.ledger.borrow();
         let report = ledger.own_report();
--- a/crates/daemon/src/agent/permits.rs
+++ b/crates/daemon/src/agent/permits.rs
@@ -80,7 +80,7 @@
     let endpoint = match link::client_endpoint(settings.listen.ip(), &settings.common.keys) {
         Ok(endpoint) => endpoint,
         Err(failure) => {
-            slog::error!(logger, "bind endpoint for brokers failed"; "step" => "bind",
+            slog::error!(logger, "cannot open an endpoint for brokers"; "step" => "bind",
                 "error" => format!("{failure:#}"));
             return;
         }
--- a/crates/daemon/src/agent/streams.rs
+++ b/crates/daemon/src/agent/streams.rs
@@ -26,7 +26,7 @@
 };
 
 /// Capacity, in frames, of the channel from an answer to its stream.
-pub const REPLY_DEPTH: usize = 32;
+pub const REPLY_CAPACITY: usize = 32;
 /// Longest wait for the offer after an entry has opened a stream.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest number of open connections.
@@ -116,7 +116,7 @@
             return Err(eyre!("the stream does not begin with an offer"));
         };
         let request = offer.request;
-        let (replies, mut frames_to_send) = mpsc::channel(REPLY_DEPTH);
+        let (replies, mut frames_to_send) = mpsc::channel(REPLY_CAPACITY);
         let work = self.submit(*offer, replies).await?;
         let sending = send_frames(&mut send, &mut frames_to_send);
         let reading = self.read_releases(&mut receive, request, work);
@@ -165,9 +165,9 @@
     send: &mut SendStream,
     replies: &mut mpsc::Receiver<AgentFrame>,
 ) -> Result<()> {
-    let mut batch = Vec::with_capacity(REPLY_DEPTH);
+    let mut batch = Vec::with_capacity(REPLY_CAPACITY);
     // All waiting frames are written at once, because a packet costs far more than a frame.
-    while replies.recv_many(&mut batch, REPLY_DEPTH).await > 0 {
+    while replies.recv_many(&mut batch, REPLY_CAPACITY).await > 0 {
         let mut bytes = Vec::new();
         for frame in &batch {
             frames::append(&mut bytes, frame)?;
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -79,7 +79,7 @@
 
 /// How a request at the target ended.
 enum RunEnd {
-    /// The whole answer was forwarded; the `End` frame is still to be sent.
+    /// The complete answer was forwarded; the `End` frame is still to be sent.
     Answered,
     /// No connection could be opened, so the request was not run.
     Unsent,
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -47,8 +47,8 @@
         let callers = server::bind(settings.listen, "callers' address").await?;
         let admin = server::bind(settings.common.admin, "admin address").await?;
         let stopping = duty::stop_signal()?;
-        let (decisions, command_receiver) = mpsc::channel(constants::RING_DEPTH);
-        let (offers, offer_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (decisions, command_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
+        let (offers, offer_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
         let (config_sender, config) = watch::channel(Arc::new(ConfigSnapshot::empty()));
         let (ended_sender, ended) = watch::channel(false);
         let (quarantine_sender, quarantined) = watch::channel(QuarantinedCalls::default());
@@ -62,7 +62,7 @@
         let (duty_settings, log) = (settings.clone(), logger.clone());
         let (duty_config, commands) = (config.clone(), decisions.clone());
         duty::start("broker", move || broker::run(duty_settings, duty_config, commands, log))?;
-        let (records, record_receiver) = mpsc::channel(constants::RING_DEPTH);
+        let (records, record_receiver) = mpsc::channel(constants::CHANNEL_CAPACITY);
         let (duty_settings, log) = (settings.clone(), logger.clone());
         duty::start("idempotency", move || idempotency::run(duty_settings, record_receiver, log))?;
         let signals = Arc::new(EntrySignals::default());
--- a/crates/daemon/src/entry/broker.rs
+++ b/crates/daemon/src/entry/broker.rs
@@ -88,8 +88,9 @@
 }
 
 async fn accept_streams(duty: Rc<BrokerDuty>, connection: Connection) {
-    // Only the agent uses heartbeats, to detect that this broker is dead. A count of zero keeps the
-    // connection open here: the permits of an agent that stops answering expire on their own.
+    // Only the agent uses heartbeats, to detect that this broker is dead. With zero requests in
+    // flight, the broker never closes a connection that carries no heartbeats: the permits of an
+    // agent that stops answering expire on their own.
     let connected = connection.clone();
     spawn_local(
         async move { heartbeat::answer_heartbeats(&connected, &AtomicUsize::new(0)).await },
--- a/crates/daemon/src/entry/offers.rs
+++ b/crates/daemon/src/entry/offers.rs
@@ -32,7 +32,7 @@
 /// connection.
 const OFFER_ATTEMPTS: usize = 2;
 /// Capacity of the channel with an offer's events.
-const EVENT_DEPTH: usize = 32;
+const EVENT_CAPACITY: usize = 32;
 /// QUIC error code of a stream that the entry cancels.
 const DROPPED_CODE: VarInt = VarInt::from_u32(2);
 
@@ -64,14 +64,14 @@
 pub struct OfferHandle {
     /// The offer's events, ending with the last frame or a failure.
     pub events: mpsc::Receiver<OfferEvent>,
-    /// Tells the agent to run a reserved request; `None` once used.
+    /// Makes the agent run a reserved request; `None` once used.
     pub release: Option<oneshot::Sender<()>>,
 }
 
 impl OfferJob {
     /// Creates an offer to the agent at `peer`, and its handle.
     pub fn new(peer: SocketAddr, offer: OfferFrame) -> (Self, OfferHandle) {
-        let (events, receiver) = mpsc::channel(EVENT_DEPTH);
+        let (events, receiver) = mpsc::channel(EVENT_CAPACITY);
         let (sender, release) = oneshot::channel();
         let handle = OfferHandle { events: receiver, release: Some(sender) };
         (Self { peer, offer, events, release }, handle)
--- a/crates/daemon/src/entry/platform.rs
+++ b/crates/daemon/src/entry/platform.rs
@@ -341,9 +341,9 @@
     }
 }
 
-/// Polls the host list; the pause grows with its size, so that it does not use up the control
-/// traffic. A slow poll is enough: a draining target also shows by its refusals and in its slot,
-/// both earlier.
+/// Polls the host list. The pause grows with the list's size, which bounds the traffic of the polls.
+/// A slow poll is enough: an entry learns earlier that a target drains, from its refusals and its
+/// slot.
 async fn poll_hosts(platform: PlatformClient, follower: ActorRef<TargetMessage>, logger: Logger) {
     let mut pause = HOST_PAUSE;
     loop {
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -68,7 +68,7 @@
     /// Whether running it twice does no harm.
     pub idempotent: bool,
     /// The key under which it is recorded, if it is not idempotent and the caller sent a key.
-    /// Without a key a retry cannot be told from a new request; the entry itself never offers a
+    /// Without a key a retry looks like a new request; the entry itself never offers a
     /// non-idempotent request again once it may have run.
     pub record: Option<RecordKey>,
     /// Whether the answer is a stream of events.
--- a/crates/daemon/src/loader/engine.rs
+++ b/crates/daemon/src/loader/engine.rs
@@ -11,8 +11,8 @@
 use plantain_platform::engine;
 use std::{net::SocketAddr, time::Duration};
 
-/// Timeout for reports: the engine is on the same host and answers in about a millisecond, and calls wait for the
-/// loads that this delays.
+/// Timeout for reports: the engine is on the same host and answers in about a millisecond. While the loader waits for
+/// a report it orders no loads, and calls wait for these.
 const ANSWER_LIMIT: Duration = Duration::from_millis(250);
 /// Timeout for the answer to an order, which comes in a few milliseconds or not at all. All further orders wait for it,
 /// and with them the calls whose adapters they load. An order that takes effect after the timeout can do so only if the
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -8,7 +8,7 @@
 
 /// Capacity, in lines, of the channel to the log writer. A full channel drops lines and counts them, so
 /// that no request waits for its log.
-const LOG_RING: usize = 4_096;
+const LOG_CAPACITY: usize = 4_096;
 
 /// Starts the logger of an entry or agent. The guard flushes it when it is dropped.
 pub fn start(settings: &CommonSettings, role: &'static str) -> (Logger, AsyncGuard) {
@@ -18,7 +18,7 @@
 /// Starts a logger whose lines hold the process's role and name. The guard flushes it when it is dropped.
 pub fn start_named(name: &str, level: Level, role: &'static str) -> (Logger, AsyncGuard) {
     let json = Json::new(io::stdout()).add_default_keys().build().fuse();
-    let (drain, guard) = Async::new(json).chan_size(LOG_RING).build_with_guard();
+    let (drain, guard) = Async::new(json).chan_size(LOG_CAPACITY).build_with_guard();
     let filtered = LevelFilter::new(drain, level).fuse();
     (Logger::root(filtered, o!("role" => role, "name" => name.to_owned())), guard)
 }
--- a/crates/daemon/src/options/constants.rs
+++ b/crates/daemon/src/options/constants.rs
@@ -42,4 +42,4 @@
 /// Pause between polls of a target's health and load.
 pub const POLL_PAUSE: Duration = Duration::from_millis(250);
 /// Capacity of the channels between duties.
-pub const RING_DEPTH: usize = 1_024;
+pub const CHANNEL_CAPACITY: usize = 1_024;
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -41,7 +41,7 @@
     fn status(&self) -> impl Future<Output = Value> + Send;
 }
 
-/// Installs the recorder for the metrics of the whole process.
+/// Installs the recorder for all metrics of the process.
 pub fn install() -> Result<PrometheusHandle> {
     PrometheusBuilder::new()
         .set_buckets_for_metric(Matcher::Suffix("_seconds".into()), &SECOND_BOUNDS)
@@ -81,7 +81,9 @@
         let (_keep, stopping) = watch::channel(false);
         match TcpListener::from_std(listener) {
             Ok(listener) => run(listener, metrics, SiteStatus(is_ready), stopping).await,
-            Err(error) => warn!(logger, "no metrics"; "step" => "telemetry", "error" => %error),
+            Err(error) => {
+                warn!(logger, "metrics server not started"; "step" => "telemetry", "error" => %error)
+            }
         }
     })?;
     Ok(())
