--- a/crates/daemon/src/router/advertised_state.rs
+++ b/crates/daemon/src/router/advertised_state.rs
@@ -12,14 +12,15 @@
 use std::time::Duration;
 
 impl RouterContext {
-    /// Whether a target takes requests: it neither drains nor has asked for a backoff that still runs.
+    /// Whether a target takes requests: it neither drains nor has asked for a backoff that has not ended.
     pub(crate) fn is_open(&self, incarnation: &TargetIncarnation) -> bool {
         let (pool, now) = (self.pool.borrow(), clock::now());
         pool.target(incarnation)
             .is_none_or(|target| !target.is_draining() && !target.is_backing_off(now))
     }
 
-    /// Time until the first target of a service ends its backoff, if all that can take calls are backing off.
+    /// Time until the first backoff of a service's targets ends; `None` unless all targets that could take calls are
+    /// backing off.
     pub(crate) fn backoff_left(&self, service: &str) -> Option<Duration> {
         self.pool.borrow().backoff_left(service, clock::now())
     }
--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/callers.rs
@@ -282,7 +282,7 @@
                 return relay_stream(exchange, answer);
             }
             DispatchResult::Success(answer) => match read_plain(&mut exchange, answer).await {
-                PlainRead::Whole(reply) => {
+                PlainRead::Complete(reply) => {
                     exchange.finish(CallEnd::Served, reply.status());
                     return reply;
                 }
--- a/crates/daemon/src/router/constants.rs
+++ b/crates/daemon/src/router/constants.rs
@@ -22,11 +22,13 @@
 /// Longest wait for a connection to be reusable after its answer was read completely. This takes time if the target
 /// answered before it had read the request's body.
 pub(crate) const SETTLE_LIMIT: Duration = Duration::from_millis(100);
-/// Largest body of a failure that is relayed, in bytes; larger ones are not.
+/// Largest body of a target's failure answer that is relayed to the caller, in bytes. If the body is larger, the caller
+/// gets the router's own error answer.
 pub(crate) const FAILURE_LIMIT: usize = 256 << 10;
 /// Largest body of a plain answer that is buffered and relayed, in bytes.
 pub(crate) const ANSWER_LIMIT: usize = 16 << 20;
-/// Time before the deadline at which a waiting call is given up: less is not enough to process a prompt and answer.
+/// Time before its deadline at which a waiting call is given up: a target needs at least this long to process a prompt
+/// and answer.
 pub(crate) const SERVE_TIME: Duration = Duration::from_millis(150);
 /// Time for which an abandoned call is assumed to run on at its target: runs take 0.4 s on average and rarely more
 /// than 1.5 s.
@@ -43,7 +45,7 @@
 /// Longest wait of a call until a router that has just started knows the meters. Until then the router uses only the
 /// share of a limit that it would have in the largest possible fleet.
 pub(crate) const METER_WAIT: Duration = Duration::from_millis(400);
-/// Interval at which these conditions are polled.
+/// Interval at which a call polls for the first configuration, targets and meters of a router that has just started.
 pub(crate) const START_POLL_PAUSE: Duration = Duration::from_millis(20);
 /// Interval at which a call rechecks a load that it waits for, in addition to the loader's reports.
 pub(crate) const LOAD_POLL_PAUSE: Duration = Duration::from_millis(60);
@@ -65,7 +67,7 @@
 /// Reports that a call may request before its first choice: from its adapter's preferred engine, the next one and a
 /// third. More would cost more time than a better engine saves.
 pub(crate) const INITIAL_REPORT_REQUESTS: u32 = 3;
-/// Age that a call must gain before each further report request.
+/// Time for which a call must have waited for each report request after the initial ones.
 pub(crate) const REPORT_REQUEST_PAUSE: Duration = Duration::from_millis(300);
 /// Longest wait of a call for a unit of its target's rate limit: a meter answers within a few ms, and other targets may
 /// admit the call.
@@ -77,7 +79,7 @@
 pub(crate) const RETURN_PAUSE: Duration = Duration::from_millis(400);
 /// Retry delay for callers if targets were saturated, or the retry budget was used up.
 pub(crate) const BUSY_PAUSE: Duration = Duration::from_millis(150);
-/// Time over which callers return that were refused because all targets had asked for a backoff.
+/// Time over which callers' retries are spread if they were refused because all targets had asked for a backoff.
 pub(crate) const BACKOFF_SPREAD: Duration = Duration::from_secs(1);
 /// Time for which a stopping router still accepts connections: the load balancer checks readiness once a second and
 /// sends new connections until the second failed check.
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -177,7 +177,7 @@
         self.routers.borrow().view(&settings.zone, settings.peer_listen, clock::now())
     }
 
-    /// Zones of `all` whose router count this router queries with its presence number `round`.
+    /// Zones of `all` that this router asks for their number of routers when it sends the presence numbered `round`.
     pub(crate) fn zones_to_ask<'a>(&self, all: &'a [ZoneName], round: usize) -> Vec<&'a ZoneName> {
         self.routers.borrow().zones_to_ask(all, round, clock::now())
     }
@@ -188,7 +188,7 @@
         self.routers.borrow().count(&settings.zone, settings.peer_listen, clock::now())
     }
 
-    /// Known number of routers, and the number that there may be.
+    /// Known number of routers, and the largest number that there may be while some are still unknown.
     pub(crate) fn fleet_size(&self, now: Timestamp) -> FleetSize {
         let known = self.router_count();
         FleetSize::new(known, self.routers.borrow().max_routers(known, self.started, now))
--- a/crates/daemon/src/router/control/context.rs
+++ b/crates/daemon/src/router/control/context.rs
@@ -30,7 +30,7 @@
 /// Time after its start for which a router waits for a peer's snapshot instead of reading the store, as long as that
 /// peer answers.
 const BOOTSTRAP_TIME: Duration = Duration::from_secs(2);
-/// Interval at which both conditions are polled.
+/// Interval at which a starting router checks whether it has found a peer, and whether that peer has sent a snapshot.
 const START_POLL_PAUSE: Duration = Duration::from_millis(10);
 
 /// Event from the control thread to the serving thread.
@@ -239,9 +239,9 @@
     /// Waits until this router must read the store itself, or already has what it needs.
     pub(in crate::router) async fn wait_for_direct_read(&self) {
         loop {
-            let is_named = !self.peers.borrow().same_zone.is_empty();
-            let may_be_named = !is_named && self.age() < PEER_DISCOVERY_TIME;
-            if self.is_listed() || !(may_be_named || self.bootstrap_upstream().is_some()) {
+            let has_peers = !self.peers.borrow().same_zone.is_empty();
+            let may_find_peers = !has_peers && self.age() < PEER_DISCOVERY_TIME;
+            if self.is_listed() || !(may_find_peers || self.bootstrap_upstream().is_some()) {
                 return;
             }
             sleep(START_POLL_PAUSE).await;
--- a/crates/daemon/src/router/crash_updates.rs
+++ b/crates/daemon/src/router/crash_updates.rs
@@ -54,8 +54,8 @@
     };
     let mut backoff = RetryBackoff::new(FIRST_PAUSE, LONGEST_PAUSE);
     while !writer.context.is_current() || !writer.context.has_read(FollowedKind::Crashes) {
-        // Each call costs, so a store that does not answer is not called. The first write replaces the report of the
-        // process's previous start, so that report must have been read before.
+        // Each call to the store costs, so nothing is written until the store has answered. The first write replaces
+        // the report of this router's previous start, so that report must have been read before.
         sleep(FIRST_PAUSE).await;
     }
     sleep(START_SPREAD.mul_f64(rand::random())).await;
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -44,13 +44,14 @@
 /// Why no target's answer can be relayed for a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum GiveUpReason {
-    /// It did not run and will not; with the time after which the caller may retry.
+    /// The call did not run and will not; with the time after which the caller may retry.
     NotRun(Duration),
-    /// The same, because several targets ended while they ran this request.
+    /// The call did not run and will not, because several targets ended while they ran this request; with the time
+    /// after which the caller may retry.
     Quarantined(Duration),
-    /// It may have run; the target closed the connection or sent an invalid answer.
+    /// The call may have run; the target closed the connection or sent an invalid answer.
     Unknown,
-    /// It may have run; its deadline has passed.
+    /// The call may have run; its deadline has passed.
     TimedOut,
 }
 
@@ -76,7 +77,7 @@
     NoAnswer(GiveUpReason),
 }
 
-/// A send that did not end in a success: what it proves, and the failure to relay if there is one.
+/// A send that did not end in a success: whether the call may have run, and the failure answer to relay, if any.
 struct SendFailure {
     proof: RunProof,
     reply: Option<Response<ReplyBody>>,
@@ -287,14 +288,14 @@
         true
     }
 
-    /// Sheds the call with a probability that grows with the overload of its plain service; returns the retry delay if
-    /// so.
+    /// Sheds the call with a probability that grows with the overload of its plain service. Returns the caller's retry
+    /// delay if the call is shed.
     fn shed(&mut self) -> Option<Duration> {
         let expected = self.queued_plain_ms()?;
         if rand::random::<f64>() >= shed_share(expected, self.route.objective) {
             return None;
         }
-        self.note(&format!("turned away: an answer is expected to take {expected:.0} ms"));
+        self.note(&format!("shed: an answer is expected to take {expected:.0} ms"));
         Some(constants::SHED_PAUSE.mul_f64(0.25 + 0.75 * rand::random::<f64>()))
     }
 
@@ -422,7 +423,8 @@
         }
     }
 
-    /// Requests an adapter load, due as long before the call's objective as the target's recent answers took to begin.
+    /// Requests an adapter load. It is due before the call's objective by the time that the target's recent answers
+    /// took to begin.
     fn request_load(
         &self,
         incarnation: &TargetIncarnation,
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one target, and the proof that its end gives.
+//! Sends a call to one target once, and classifies whether the call ran there.
 
 use super::{
     super::{
@@ -103,7 +103,8 @@
         Err(SendFailure { proof, reply: None })
     }
 
-    /// Uncounts a run that is proven not to have happened; each send counts as a run until then.
+    /// Subtracts a send from the call's number of runs if the call provably did not run; each send counts as a run
+    /// until its outcome is known.
     fn uncount_run(&mut self, proof: RunProof) {
         if !counts_as_run(proof) {
             self.record.runs -= 1;
@@ -179,7 +180,7 @@
         self.context.record_advertised_state(&incarnation, proof, &head);
         let took = match proof {
             RunProof::Succeeded | RunProof::Failed => Some(latency),
-            // A full queue takes about as long as the objective.
+            // A refusal means a full queue, in which a call would wait for about as long as the objective.
             RunProof::NotRun => Some(self.route.objective),
             RunProof::Misdirected | RunProof::Unknown => None,
         };
@@ -210,8 +211,8 @@
             }
             self.context.notify_loader(&incarnation);
         }
-        let is_foreign = proof == RunProof::Unknown;
-        let failure_body = if is_foreign { None } else { self.read_failure(body).await };
+        let is_unknown = proof == RunProof::Unknown;
+        let failure_body = if is_unknown { None } else { self.read_failure(body).await };
         if failure_body.is_some() {
             self.context
                 .connections
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -50,8 +50,8 @@
 /// Batching pause after a change of the crash reports: each router that had calls at a target which ended writes
 /// its own report.
 const CRASH_GATHER: Duration = Duration::from_millis(100);
-/// Log lines about undecodable objects of one page: other programs may write hundreds of them, and each page would
-/// log them all again.
+/// Largest number of log lines about undecodable objects per page: other programs may write hundreds of such objects,
+/// and each page would log them all again.
 const FAULT_LINES: usize = 5;
 /// Shortest pause after a failed call.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
@@ -284,7 +284,7 @@
         }
     }
 
-    /// Minimum pause between probes of a router that learns from others when the store is reachable again; zero
+    /// Minimum pause between probes of an unreachable store, longer if another router of the zone also probes it; zero
     /// until the first retry.
     fn probe_pause(&self) -> Duration {
         let failing_since = self.progress().failing_since.get();
--- a/crates/daemon/src/router/links.rs
+++ b/crates/daemon/src/router/links.rs
@@ -163,8 +163,8 @@
         self.send_presence();
     }
 
-    /// Registers at one loader of this zone's registry, in turn, and at all of them the first time; queries the
-    /// registries of other zones for their numbers of routers.
+    /// Registers at the loaders of this zone's registry: the first presence goes to all of them, and each later one to
+    /// the next loader in rotation. Also queries the registries of other zones for their numbers of routers.
     fn send_presence(&mut self) {
         let (zone, address) = {
             let settings = self.context.settings.borrow();
--- a/crates/daemon/src/router/permits.rs
+++ b/crates/daemon/src/router/permits.rs
@@ -15,7 +15,7 @@
 use std::{fmt::Write, time::Duration};
 use tokio::time::timeout;
 
-/// Result of asking for a unit of a target's limit.
+/// Result of a request for a unit of a target's limit.
 pub(crate) enum TargetPermit {
     /// The request may be sent; with the unit that it took, if the target has a limit.
     Granted(Option<UsageCharge>),
@@ -97,9 +97,9 @@
         match self.limits.view_tag(tag, now) {
             Some(view) if view.age.is_some() => {
                 let age = view.age.unwrap_or_default().as_millis();
-                let _ = write!(reason, ", left {:.1} as told {age} ms ago", view.left);
+                let _ = write!(reason, ", left {:.1} as reported {age} ms ago", view.left);
             }
-            _ => reason.push_str(", no meter heard"),
+            _ => reason.push_str(", no report from a meter"),
         }
         TargetPermit::Saturated(reason)
     }
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -31,7 +31,7 @@
 /// Result of reading a plain answer's body.
 pub(crate) enum PlainRead {
     /// The complete reply.
-    Whole(Response<ReplyBody>),
+    Complete(Response<ReplyBody>),
     /// The body ended early, or the deadline passed.
     Broken(GiveUpReason),
 }
@@ -51,7 +51,7 @@
             exchange.context.connections.put_back(connection, keep);
             guard.set_survived();
             let bytes = collected.to_bytes();
-            (CallOutcome::Answered, PlainRead::Whole(head.map(|()| ReplyBody::new(bytes))))
+            (CallOutcome::Answered, PlainRead::Complete(head.map(|()| ReplyBody::new(bytes))))
         }
         Ok(Err(error)) => {
             exchange.note(&format!("{incarnation} broke off its answer: {error}"));
@@ -207,7 +207,8 @@
     }
 }
 
-/// Splits a resumable stream into complete events: a partial event followed by another run's events would be corrupt.
+/// Splits a resumable stream into complete events: if it broke off inside an event and another run resumed it, the
+/// caller would get a corrupt event.
 /// Other streams pass unchanged, and only their end is checked.
 struct EventSplitter {
     buffers_events: bool,
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -29,8 +29,8 @@
 /// Status if the queried router's state is too old.
 const STALE: StatusCode = StatusCode::GATEWAY_TIMEOUT;
 /// Time for which a query waits for changes at the upstream. Together with [`ANSWER_LIMIT`] it bounds how long a
-/// frozen upstream goes unnoticed: half a second. With the watching router's own pause and one call to the store,
-/// that is less than the time in which a draining target must be known.
+/// frozen upstream goes unnoticed: half a second. Even with the batching pause of the router that watches the store and
+/// one call to the store, that is less than the time in which a draining target must be known.
 const WAIT_LIMIT: Duration = Duration::from_millis(300);
 /// Timeout for an answer, added to that wait.
 const ANSWER_LIMIT: Duration = Duration::from_millis(200);
@@ -91,9 +91,7 @@
             Ok(UpstreamAnswer::Denied) => {
                 (UpstreamReply::Denied, "it does not follow the store".to_owned())
             }
-            Ok(UpstreamAnswer::Stale) => {
-                (UpstreamReply::Stale, "it has not heard of the store for too long".to_owned())
-            }
+            Ok(UpstreamAnswer::Stale) => (UpstreamReply::Stale, "its state is too old".to_owned()),
             Err(error) => (UpstreamReply::Silent, format!("{error:#}")),
         };
         if self.machine.apply_reply(upstream, reply, clock::now()) {
