--- a/crates/daemon/src/agent/decisions.rs
+++ b/crates/daemon/src/agent/decisions.rs
@@ -228,8 +228,9 @@
     fn cancel(&mut self, work: WorkId) {
         self.handle_event(AgentEvent::Cancelled(work));
         // Work that has started keeps its channel until it has ended at the target.
-        let runs = self.work_channels.get(&work).is_some_and(|channel| channel.cancel.is_some());
-        if !runs {
+        let is_running =
+            self.work_channels.get(&work).is_some_and(|channel| channel.cancel.is_some());
+        if !is_running {
             self.work_channels.remove(&work);
         }
     }
--- a/crates/daemon/src/agent/platform.rs
+++ b/crates/daemon/src/agent/platform.rs
@@ -129,9 +129,9 @@
     /// after a lease's time. On this host no predecessor can run, because this process has bound the
     /// slot's port.
     async fn wait_out_predecessor(&self, known: Option<&SlotRecord>) {
-        let is_elsewhere = known
+        let is_on_other_host = known
             .is_some_and(|slot| slot.target.peer != self.settings.announce && !slot.target.leaving);
-        if is_elsewhere && !self.settings.engine_checks_fencing {
+        if is_on_other_host && !self.settings.engine_checks_fencing {
             info!(self.logger, "waiting for the predecessor's lease"; "step" => "take slot");
             sleep(constants::LEASE).await;
         }
--- a/crates/daemon/src/entry/idempotency.rs
+++ b/crates/daemon/src/entry/idempotency.rs
@@ -51,7 +51,7 @@
 struct RecordDuty {
     platform: PlatformClient,
     shards: RefCell<HashMap<u64, ShardQueue>>,
-    failed: RefCell<Option<Instant>>,
+    failed_at: RefCell<Option<Instant>>,
     logger: Logger,
 }
 
@@ -60,7 +60,7 @@
     let duty = Rc::new(RecordDuty {
         platform: PlatformClient::new(settings.common.platform, HttpClient::new()),
         shards: RefCell::new(HashMap::new()),
-        failed: RefCell::new(None),
+        failed_at: RefCell::new(None),
         logger: log,
     });
     while let Some(job) = jobs.recv().await {
@@ -70,7 +70,7 @@
 
 impl RecordDuty {
     fn enqueue(self: &Rc<Self>, job: RecordJob) {
-        let outage = self.failed.borrow().map(|failed| failed.elapsed());
+        let outage = self.failed_at.borrow().map(|failed_at| failed_at.elapsed());
         if let Some(since) = outage.filter(|since| *since < OUTAGE_BACKOFF) {
             // Fails at once instead of after one more timeout.
             let _ = job.reply.send(Err(OUTAGE_BACKOFF.saturating_sub(since)));
@@ -112,7 +112,7 @@
             }
             if let Err(failure) = &verdicts {
                 note_failure(&self.logger, "write records", failure);
-                *self.failed.borrow_mut() = Some(Instant::now());
+                *self.failed_at.borrow_mut() = Some(Instant::now());
             }
             sleep(BATCH_PAUSE).await;
         }
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -199,8 +199,8 @@
         self.routers.borrow_mut()
     }
 
-    /// Wakes the calls that wait at a target. Only these: each loader sends several reports a second, and each wake
-    /// makes a call choose among all targets again.
+    /// Wakes only the calls that wait at this target: each loader sends several reports a second, and each call that
+    /// is woken chooses among all targets again.
     pub(crate) fn wake_waiters(&self, incarnation: &TargetIncarnation) {
         let mut waiters = self.waiters.borrow_mut();
         if let Some(notify) = waiters.get(incarnation) {
--- a/crates/daemon/src/router/control/context.rs
+++ b/crates/daemon/src/router/control/context.rs
@@ -405,9 +405,9 @@
     /// Records that the store, or a router that follows it, answered for a kind.
     pub(in crate::router) async fn note_contact(&self, kind: FollowedKind) {
         let Some(since) = self.progress(kind).failing_since.take() else { return };
-        let out_for = clock::now().saturating_sub(since);
+        let outage = clock::now().saturating_sub(since);
         info!(self.logger, "store regained"; "step" => "follow", "kind" => kind.name(),
-            "out_ms" => out_for.as_millis() as u64);
+            "out_ms" => outage.as_millis() as u64);
         if kind == FollowedKind::Targets {
             self.regained_at.set(Some(clock::now()));
         }
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -284,7 +284,7 @@
             return false;
         };
         counter!("plantain_calls_held_total").increment(1);
-        self.note(&format!("held back: {crashes} targets have ended under this request"));
+        self.note(&format!("held back: {crashes} targets have ended while they ran this request"));
         true
     }
 
@@ -391,9 +391,9 @@
                         sleep(constants::START_POLL_PAUSE).await;
                         continue;
                     }
-                    let left_out = self.excluded.len();
+                    let excluded = self.excluded.len();
                     self.note(&format!(
-                        "no target can take it: {known} known, {left_out} had it already"
+                        "no target can take the call: {known} known, {excluded} tried already"
                     ));
                     return Err(constants::RETURN_PAUSE);
                 }
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -87,8 +87,8 @@
             return;
         }
         if self.kind != FollowedKind::Config {
-            let is_out = self.context.store_check().await == Some(StoreCheck::Silent);
-            if is_out && self.progress().failing_since.get().is_none() {
+            let is_silent = self.context.store_check().await == Some(StoreCheck::Silent);
+            if is_silent && self.progress().failing_since.get().is_none() {
                 self.note_failure(&eyre!("the store does not answer for the configuration")).await;
                 return;
             }
--- a/crates/daemon/tests/daemon/frames.rs
+++ b/crates/daemon/tests/daemon/frames.rs
@@ -15,8 +15,8 @@
     assert_eq!(decode::<AgentFrame>(&bytes[4..]).expect("decode"), frame());
 }
 
-/// Guards against a decoder that panics on bytes that are no frame, or that allocates memory for a
-/// declared length although the bytes are fewer.
+/// Guards against a decoder that panics on bytes that are not a valid frame, or that allocates memory
+/// for a declared length although fewer bytes follow.
 #[test]
 fn decoding_random_bytes_never_panics() {
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck hands over values")]
