--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -81,9 +81,7 @@
         let (_keep, stopping) = watch::channel(false);
         match TcpListener::from_std(listener) {
             Ok(listener) => run(listener, metrics, SiteStatus(is_ready), stopping).await,
-            Err(error) => {
-                warn!(logger, "metrics server not started"; "step" => "telemetry", "error" => %error)
-            }
+            Err(error) => warn!(logger, "no metrics"; "step" => "telemetry", "error" => %error),
         }
     })?;
     Ok(())
