--- a/crates/daemon/src/agent/crashes.rs
+++ b/crates/daemon/src/agent/crashes.rs
@@ -45,7 +45,7 @@
     started: Instant,
     ledger: RefCell<CrashLedger>,
     runs: RefCell<UnresolvedRuns>,
-    /// Detected ends of the target; each starts another incarnation.
+    /// Number of detected ends of the target; the incarnation number.
     ends: Cell<u64>,
     is_probing: Cell<bool>,
     report_sender: watch::Sender<Arc<CrashReport>>,
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -30,7 +30,8 @@
 const STREAM_WINDOW: u32 = 256 << 10;
 /// Flow-control window of a connection, in bytes.
 const CONNECTION_WINDOW: u32 = 32 << 20;
-/// Round-trip time assumed before the first sample; far below the default for the internet.
+/// Round-trip time assumed before the first sample; far below the library's default, which suits the
+/// internet.
 const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(10);
 
 /// Creates an endpoint that connects to peers.
--- a/crates/daemon/src/options/constants.rs
+++ b/crates/daemon/src/options/constants.rs
@@ -24,18 +24,18 @@
 pub const OFFER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time for which a planned stop waits for requests in flight.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_mins(10);
-/// Adapter slots of an engine, unless set.
+/// Default number of adapter slots of an engine.
 pub const SLOTS: usize = 8;
-/// Requests that a target runs concurrently, unless set.
+/// Default number of requests that a target runs concurrently.
 pub const BATCH_LIMIT: u32 = 16;
-/// Loads that an engine performs concurrently, unless set.
+/// Default number of loads that an engine performs concurrently.
 pub const LOAD_LIMIT: usize = 2;
 /// Loads per second that an agent may order while no entry grants permits: about a twelfth of the weight
 /// store's rate, as for twelve engines.
 pub const LOAD_RATE: f64 = 0.3;
-/// Loads per second that the weight store allows, unless set.
+/// Default number of loads per second that the weight store allows.
 pub const STORE_RATE: f64 = 4.0;
-/// Concurrent loads that the weight store serves at full speed, unless set.
+/// Default number of concurrent loads that the weight store serves at full speed.
 pub const STORE_LOADS: usize = 3;
 /// Duration of an agent's lease of its slot.
 pub const LEASE: Duration = Duration::from_secs(30);
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -103,7 +103,7 @@
         self.set_overdue(false);
     }
 
-    /// Marks the first byte as overdue.
+    /// Sets whether the first byte of the answer is overdue.
     pub(crate) fn set_overdue(&mut self, is_overdue: bool) {
         if self.is_overdue != is_overdue {
             self.is_overdue = is_overdue;
