--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -41,7 +41,7 @@
     fn status(&self) -> impl Future<Output = Value> + Send;
 }
 
-/// Installs the recorder for the metrics of the whole process.
+/// Installs the recorder for all metrics of the process.
 pub fn install() -> Result<PrometheusHandle> {
     PrometheusBuilder::new()
         .set_buckets_for_metric(Matcher::Suffix("_seconds".into()), &SECOND_BOUNDS)
