--- a/crates/daemon/src/router/admission.rs
+++ b/crates/daemon/src/router/admission.rs
@@ -181,9 +181,9 @@
     );
     match view.age {
         Some(age) => {
-            let _ = write!(text, " as reported {} ms ago", age.as_millis());
+            let _ = write!(text, " as told {} ms ago", age.as_millis());
         }
-        None => text.push_str(", no report from a meter"),
+        None => text.push_str(", no meter heard"),
     }
 }
 
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -82,7 +82,7 @@
             self.crashes.runs.borrow_mut().resolve(phase, now)
         };
         for target in ended {
-            self.note_end(&target, "gone from the list, or unresponsive to its loader");
+            self.note_end(&target, "gone from the list, or dark to its loader");
         }
         let has_expired = self.crashes.ledger.borrow_mut().expire(now);
         if has_expired {
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -284,7 +284,7 @@
             return false;
         };
         counter!("plantain_calls_held_total").increment(1);
-        self.note(&format!("held back: {crashes} targets have ended while they ran this request"));
+        self.note(&format!("held back: {crashes} targets have ended under this request"));
         true
     }
 
@@ -295,7 +295,7 @@
         if rand::random::<f64>() >= shed_share(expected, self.route.objective) {
             return None;
         }
-        self.note(&format!("shed: an answer is expected to take {expected:.0} ms"));
+        self.note(&format!("turned away: an answer is expected to take {expected:.0} ms"));
         Some(constants::SHED_PAUSE.mul_f64(0.25 + 0.75 * rand::random::<f64>()))
     }
 
@@ -393,7 +393,7 @@
                     }
                     let excluded = self.excluded.len();
                     self.note(&format!(
-                        "no target can take the call: {known} known, {excluded} tried already"
+                        "no target can take it: {known} known, {excluded} had it already"
                     ));
                     return Err(constants::RETURN_PAUSE);
                 }
--- a/crates/daemon/src/router/permits.rs
+++ b/crates/daemon/src/router/permits.rs
@@ -97,9 +97,9 @@
         match self.limits.view_tag(tag, now) {
             Some(view) if view.age.is_some() => {
                 let age = view.age.unwrap_or_default().as_millis();
-                let _ = write!(reason, ", left {:.1} as reported {age} ms ago", view.left);
+                let _ = write!(reason, ", left {:.1} as told {age} ms ago", view.left);
             }
-            _ => reason.push_str(", no report from a meter"),
+            _ => reason.push_str(", no meter heard"),
         }
         TargetPermit::Saturated(reason)
     }
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -91,7 +91,9 @@
             Ok(UpstreamAnswer::Denied) => {
                 (UpstreamReply::Denied, "it does not follow the store".to_owned())
             }
-            Ok(UpstreamAnswer::Stale) => (UpstreamReply::Stale, "its state is too old".to_owned()),
+            Ok(UpstreamAnswer::Stale) => {
+                (UpstreamReply::Stale, "it has not heard of the store for too long".to_owned())
+            }
             Err(error) => (UpstreamReply::Silent, format!("{error:#}")),
         };
         if self.machine.apply_reply(upstream, reply, clock::now()) {
