--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,8 +1,9 @@
-//! The answer that the stand-in engine gives, as a function of its input, so that every byte that
-//! reaches a caller can be checked.
+//! Answers of the stand-in engine. They are a pure function of model and prompt, so that callers
+//! can check every byte that they receive.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+/// Vocabulary of the answers; a token is a word followed by hash bits.
 const WORDS: [&str; 16] = [
     "gate", "stamp", "route", "shrine", "hall", "dock", "slot", "badge", "beam", "truss", "panel",
     "crew", "desk", "path", "bell", "lamp",
@@ -15,12 +16,12 @@
     format!("{}{} ", WORDS[(hash % 16) as usize], hash >> 48)
 }
 
-/// The whole answer of `tokens` tokens.
-pub fn whole_answer(model: &str, prompt: &str, tokens: u32) -> String {
+/// The complete answer of `model` to `prompt` with `tokens` tokens.
+pub fn expected_answer(model: &str, prompt: &str, tokens: u32) -> String {
     (0..tokens).map(|index| answer_token(model, prompt, index)).collect()
 }
 
-/// Tokens in a prompt, as the stand-in counts them: four bytes each.
+/// Number of tokens in a prompt: one per four bytes, rounded up.
 pub fn prompt_tokens(prompt: &str) -> u32 {
     (prompt.len() as u32).div_ceil(4)
 }
--- a/crates/standin/src/bench/driver.rs
+++ b/crates/standin/src/bench/driver.rs
@@ -2,7 +2,7 @@
 
 use super::workload::{Trace, TraceRequest, adapter_name};
 use crate::{
-    answer::whole_answer,
+    answer::expected_answer,
     call::{ChatCall, read_events},
 };
 use bytes::BytesMut;
@@ -78,7 +78,7 @@
     // Anything else was refused, or broken off and known to be.
     if let Ok(Some((body, last))) = follow(http, entry, &call, &mut sample).await {
         let model = format!("{name}@1");
-        let wanted = whole_answer(&model, &request.prompt, request.tokens);
+        let wanted = expected_answer(&model, &request.prompt, request.tokens);
         match read_events(&body, &model) {
             Ok(content) if content == wanted => {
                 sample.answered = true;
--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -1,6 +1,6 @@
-//! A caller's request, its answer, and the check of every byte of it.
+//! A caller's chat completion: sends the request, reads the answer and checks every byte.
 
-use crate::answer::whole_answer;
+use crate::answer::expected_answer;
 use bytes::{Bytes, BytesMut};
 use eyre::{Result, WrapErr, ensure, eyre};
 use http_body_util::{BodyExt, Full};
@@ -12,23 +12,23 @@
     time::{Duration, Instant},
 };
 
-/// A chat completion to ask for.
+/// A chat completion request.
 #[derive(Clone, Debug)]
 pub struct ChatCall {
-    /// What to put in `model`.
+    /// Value of `model`: an adapter name, with `@version` to select a version.
     pub model: String,
-    /// The prompt.
+    /// Content of the user's message.
     pub prompt: String,
-    /// Tokens to generate.
+    /// Number of tokens to generate (`max_tokens`).
     pub tokens: u32,
-    /// Whether to stream.
+    /// Whether the answer is streamed as server-sent events.
     pub streamed: bool,
-    /// Further headers.
+    /// Additional headers, as name and value.
     pub headers: Vec<(String, String)>,
 }
 
 impl ChatCall {
-    /// A streamed call.
+    /// Creates a streamed call without additional headers.
     pub fn new(model: &str, prompt: &str, tokens: u32) -> Self {
         Self {
             model: model.to_owned(),
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Asks for the answer in one piece.
+    /// Requests the answer as one JSON body instead of a stream.
     #[must_use]
-    pub fn with_whole_answer(mut self) -> Self {
+    pub fn without_streaming(mut self) -> Self {
         self.streamed = false;
         self
     }
@@ -53,13 +53,13 @@
         self
     }
 
-    /// The request's body.
+    /// JSON body of the request.
     pub fn body(&self) -> Value {
         json!({"model": self.model, "stream": self.streamed, "max_tokens": self.tokens,
             "messages": [{"role": "user", "content": self.prompt}]})
     }
 
-    /// The request to send.
+    /// Builds the HTTP request to `peer`.
     pub fn request(&self, peer: SocketAddr) -> Result<Request<Full<Bytes>>> {
         let mut request = Request::builder()
             .method(Method::POST)
@@ -72,7 +72,7 @@
         request.body(Full::new(body)).wrap_err("build request")
     }
 
-    /// Sends the call and follows its answer to the end.
+    /// Sends the call and reads its answer until it ends or is aborted.
     pub async fn send(&self, http: &HttpClient, peer: SocketAddr) -> Result<ChatAnswer> {
         let started = Instant::now();
         let reply = http.send(self.request(peer)?).await?;
@@ -103,13 +103,14 @@
         Ok(answer)
     }
 
-    /// Checks an answer: adapter, version and every byte.
+    /// Checks that an answer is complete, names `model` (adapter and version), and has the expected
+    /// content.
     pub fn check(&self, answer: &ChatAnswer, model: &str) -> Result<()> {
         ensure!(answer.status == StatusCode::OK, "{}: {}", answer.status, answer.text());
         ensure!(answer.broken.is_none(), "broken off: {:?}", answer.broken);
         let named = answer.header("x-plantain-adapter");
         ensure!(named == Some(model), "ran on {named:?}, not on {model}");
-        let wanted = whole_answer(model, &self.prompt, self.tokens);
+        let wanted = expected_answer(model, &self.prompt, self.tokens);
         let content = if self.streamed {
             read_events(&answer.body, model)?
         } else {
@@ -122,48 +123,49 @@
     }
 }
 
-/// An answer as it arrived.
+/// An answer as received; it may be incomplete.
 #[derive(Clone, Debug)]
 pub struct ChatAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Received part of the body.
     pub body: BytesMut,
-    /// Time until the first byte of the body.
+    /// Time from sending to the first byte of the body; absent without a body.
     pub first: Option<Duration>,
-    /// Time until the end.
+    /// Time from sending to the end of the body.
     pub last: Duration,
-    /// Why the body broke off, if it did.
+    /// Error that aborted the body, if any.
     pub broken: Option<String>,
 }
 
 impl ChatAnswer {
-    /// A header's value.
+    /// Value of a header, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The body as text.
+    /// The body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The error in the body.
+    /// The `error` object of the body; null if there is none.
     pub fn error(&self) -> Value {
         let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         value["error"].clone()
     }
 
-    /// Time that the request waited for its adapter, as the entry reports it.
+    /// Time that the request waited for its adapter to load, as reported by the entry.
     pub fn load_stall(&self) -> Option<Duration> {
         let millis = self.header("x-plantain-load-stall-ms")?.parse().ok()?;
         Some(Duration::from_millis(millis))
     }
 }
 
-/// Joins the content of a whole stream of events.
+/// Concatenates the content of a stream of events. Fails if an event names another model or the end
+/// marker is missing.
 pub fn read_events(body: &[u8], model: &str) -> Result<String> {
     let text = std::str::from_utf8(body).wrap_err("read events")?;
     let mut content = String::new();
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -90,7 +90,7 @@
         };
         let mut call = ChatCall::new(&model, &format!("Is gate {round} open?"), TOKENS);
         if round % 3 == 0 {
-            call = call.with_whole_answer();
+            call = call.without_streaming();
         }
         let answer = call.send(cluster.http(), cluster.entry(round % 2)).await?;
         let verdict = call.check(&answer, &format!("{name}@{version}"));
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine: vLLM-style calls over a modelled continuous batch.
+//! Stand-in for an inference engine: a vLLM-style HTTP API over a simulated continuous batch.
 
 pub mod batch;
 mod control;
@@ -31,28 +31,28 @@
     time::sleep,
 };
 
-/// Tokens generated when a request sets no limit.
+/// Tokens generated when a request sets no `max_tokens`.
 const DEFAULT_TOKENS: u32 = 16;
 
-/// Time in which the first token of an answer that is to be cut goes out.
+/// Pause between the first token of an answer and its injected abort, so that the token is sent.
 const FLUSH_PAUSE: Duration = Duration::from_millis(50);
-/// Model that a faulty answer names.
-const FOREIGN_MODEL: &str = "house-9999@1";
+/// Model named in an answer under the `wrong_model` fault.
+const WRONG_MODEL: &str = "house-9999@1";
 
-/// Settings of the stand-in.
+/// Settings of the engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Where it listens.
+    /// Listen address for API and test controls.
     pub listen: SocketAddr,
-    /// Adapters held at once.
+    /// Most adapters resident or loading at once.
     pub slots: usize,
-    /// Sequences run at once.
+    /// Most sequences in the batch; others wait.
     pub batch_limit: usize,
-    /// Cost model of a step.
+    /// Cost model of a batch step.
     pub times: BatchTimes,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether load and unload orders with an outdated fencing number are refused.
     pub check_fencing: bool,
-    /// How far the load report lags.
+    /// Interval at which the values on `/metrics` are refreshed.
     pub report_lag: Duration,
 }
 
@@ -60,48 +60,48 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// So many loads fail.
+    /// Number of the next loads that fail.
     pub fail_loads: u32,
-    /// Loads hang until this is unset.
+    /// Whether loads hang, until this is cleared.
     pub hang_loads: bool,
-    /// So many answers name another adapter than the one asked for.
+    /// Number of the next answers that name a different adapter than the requested one.
     pub wrong_model: u32,
-    /// So many answers break off after their first token.
+    /// Number of the next answers that are aborted after their first token.
     pub cut_answers: u32,
-    /// So many answers hold other content than they should, under the right name.
+    /// Number of the next answers with wrong content under the right adapter name.
     pub wrong_content: u32,
-    /// So many requests lose their adapter while they run.
+    /// Number of the next requests whose adapter is unloaded as soon as they are queued.
     pub drop_in_use: u32,
-    /// Tokens stop coming while set.
+    /// Whether the batch is paused, so that no tokens are generated.
     pub freeze: bool,
 }
 
-/// A prompt that no engine survives, as one that runs into a fault of its code: the process ends as it
-/// begins to run it.
+/// Poison prompt: the engine process exits when a request with it arrives, as on a bug that the
+/// prompt triggers.
 pub const FATAL_PROMPT: &str = "a prompt that no engine survives";
-/// Exit status of an engine that ends under it.
+/// Exit status of an engine that was given `FATAL_PROMPT`.
 const FATAL_STATUS: i32 = 70;
 
-/// What the engine has done, from `GET /standin/records`.
+/// Counters and state of the engine, served at `GET /standin/records`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EngineRecords {
-    /// Request ids begun, in order.
+    /// `x-request-id` of each accepted request, in order of arrival.
     pub executed: Vec<String>,
-    /// Sequences that ran to their end.
+    /// Sequences that generated all their tokens.
     pub completed: u64,
-    /// Sequences cancelled by their caller.
+    /// Sequences cancelled because their caller disconnected.
     pub cancelled: u64,
     /// Adapters unloaded while a sequence was using them.
     pub evicted_in_use: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused for an outdated fencing number.
     pub fenced: u64,
     /// Loads that succeeded.
     pub loads: u64,
-    /// Steps of the batch.
+    /// Batch steps run.
     pub steps: u64,
-    /// Sequences over all steps.
+    /// Sum of the batch sizes over all steps.
     pub sequence_steps: u64,
-    /// Adapters held.
+    /// Resident adapters.
     pub adapters: BTreeSet<String>,
 }
 
@@ -128,7 +128,7 @@
 struct EngineHandler {
     options: Arc<EngineOptions>,
     state: Arc<Mutex<EngineState>>,
-    work: Arc<Notify>,
+    work_added: Arc<Notify>,
     http: HttpClient,
 }
 
@@ -178,7 +178,7 @@
     let handler = EngineHandler {
         options: Arc::new(options),
         state: Arc::new(Mutex::new(state)),
-        work: Arc::new(Notify::new()),
+        work_added: Arc::new(Notify::new()),
         http: HttpClient::new(),
     };
     tokio::spawn(run_batch(handler.clone()));
@@ -198,10 +198,11 @@
             if state.faults.freeze { None } else { state.batch.begin_step() }
         };
         let Some(duration) = step else {
-            let _ = tokio::time::timeout(Duration::from_millis(20), handler.work.notified()).await;
+            let _ = tokio::time::timeout(Duration::from_millis(20), handler.work_added.notified())
+                .await;
             continue;
         };
-        // The timer rounds up to a millisecond, which a step of no time must not pay.
+        // The timer rounds up to a millisecond, so a step of zero length only yields.
         if duration.is_zero() {
             yield_now().await;
         } else {
@@ -277,22 +278,28 @@
         let id = format!("cmpl-{}", state.next_id);
         let tokens = request.max_tokens.unwrap_or(DEFAULT_TOKENS).max(1);
         let (events, receiver) = mpsc::unbounded_channel();
-        let answered_model = if take_one(&mut state.faults.wrong_model) {
-            FOREIGN_MODEL.to_owned()
+        let answered_model = if consume_fault(&mut state.faults.wrong_model) {
+            WRONG_MODEL.to_owned()
         } else {
             request.model.clone()
         };
-        let cut = take_one(&mut state.faults.cut_answers);
+        let cut = consume_fault(&mut state.faults.cut_answers);
         let prompt_size = prompt_tokens(&prompt);
-        let wrong_content = take_one(&mut state.faults.wrong_content);
-        let asked = if wrong_content { format!("{prompt}?") } else { prompt };
+        let wrong_content = consume_fault(&mut state.faults.wrong_content);
+        let effective_prompt = if wrong_content { format!("{prompt}?") } else { prompt };
         let model = request.model.clone();
-        state.batch.push(Sequence::new(request.model, asked, tokens, request.priority, events));
-        if take_one(&mut state.faults.drop_in_use) {
+        state.batch.push(Sequence::new(
+            request.model,
+            effective_prompt,
+            tokens,
+            request.priority,
+            events,
+        ));
+        if consume_fault(&mut state.faults.drop_in_use) {
             state.drop_adapter(&model);
         }
         drop(state);
-        self.work.notify_one();
+        self.work_added.notify_one();
         let writer = AnswerWriter { id, model: answered_model, chat, cut, prompt_size };
         let (sender, reply_body) = ReplyBody::channel();
         let content_type = if request.stream { "text/event-stream" } else { "application/json" };
@@ -308,19 +315,20 @@
 }
 
 impl EngineState {
-    /// Lets go of an adapter, whoever uses it; false if it was not there.
+    /// Unloads an adapter even if sequences use it; false if it was not resident.
     fn drop_adapter(&mut self, model: &str) -> bool {
         if !self.adapters.remove(model) {
             return false;
         }
-        if self.batch.lose_model(model) > 0 {
+        if self.batch.abort_model(model) > 0 {
             self.records.evicted_in_use += 1;
         }
         true
     }
 }
 
-fn take_one(count: &mut u32) -> bool {
+/// Uses up one of `count` faults; false if none is left.
+fn consume_fault(count: &mut u32) -> bool {
     let taken = *count > 0;
     *count = count.saturating_sub(1);
     taken
@@ -337,7 +345,7 @@
 impl AnswerWriter {
     async fn stream(self, mut tokens: mpsc::UnboundedReceiver<TokenEvent>, sender: BodySender) {
         loop {
-            // A caller that went away is noticed at once: dropping `tokens` ends the sequence.
+            // Returning on the caller's disconnect drops `tokens`, which cancels the sequence.
             let event = tokio::select! {
                 event = tokens.recv() => event,
                 () = sender.closed() => return,
@@ -357,7 +365,7 @@
                 return;
             }
             if self.cut {
-                // The server drops what it has not written yet when a body breaks off.
+                // The server discards unwritten data when a body is aborted.
                 sleep(FLUSH_PAUSE).await;
                 let _ = sender.send(Err(BodyAbort("cut by a fault".into()))).await;
                 return;
@@ -387,7 +395,7 @@
                 break;
             }
         }
-        let _ = sender.send(Ok(self.whole(&text, count).to_string().into())).await;
+        let _ = sender.send(Ok(self.completion(&text, count).to_string().into())).await;
     }
 
     fn chunk(&self, token: &str, last: bool) -> Value {
@@ -401,7 +409,7 @@
         }
     }
 
-    fn whole(&self, text: &str, tokens: u32) -> Value {
+    fn completion(&self, text: &str, tokens: u32) -> Value {
         let choice = if self.chat {
             json!({"index": 0, "message": {"role": "assistant", "content": text},
                 "finish_reason": "length"})
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,5 +1,5 @@
-//! A modelled continuous batch: each step yields a token for every running sequence, and takes
-//! longer with more sequences, more distinct adapters and more prompt tokens to prefill.
+//! Simulated continuous batch: each step generates one token for every running sequence. A step
+//! takes longer with more sequences, more distinct adapters and more prompt tokens to prefill.
 
 use crate::answer::{answer_token, prompt_tokens};
 use std::{
@@ -8,39 +8,39 @@
 };
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Bytes of a prompt's start that the prefix cache is keyed by.
+/// Characters at the start of a prompt that are its key in the prefix cache.
 const PREFIX_BYTES: usize = 256;
 
-/// Cost model of a step.
+/// Cost model of a batch step.
 #[derive(Clone, Debug)]
 pub struct BatchTimes {
-    /// Time of any step.
+    /// Base time of a step.
     pub step: Duration,
-    /// Added for each sequence.
+    /// Time added for each running sequence.
     pub per_sequence: Duration,
-    /// Added for each distinct adapter.
+    /// Time added for each distinct adapter.
     pub per_adapter: Duration,
-    /// Added for each prompt token to prefill.
+    /// Time added for each prompt token to prefill.
     pub per_prompt_token: Duration,
-    /// Prompt prefixes whose prefill is kept.
+    /// Capacity of the prefix cache, in prompt prefixes.
     pub prefix_cache: usize,
 }
 
-/// What a sequence's reader is told.
+/// Event sent to the reader of a sequence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TokenEvent {
-    /// One more token.
+    /// A generated token.
     Token {
-        /// Its text.
+        /// Text of the token, with a trailing space.
         text: String,
-        /// Whether it is the last.
+        /// Whether the sequence is complete.
         last: bool,
     },
-    /// The engine lost the sequence.
+    /// The sequence was aborted: its adapter was unloaded or the engine restarted.
     Lost,
 }
 
-/// One request in the batch.
+/// A request that waits or runs in the batch.
 #[derive(Debug)]
 pub struct Sequence {
     model: String,
@@ -52,7 +52,7 @@
 }
 
 impl Sequence {
-    /// A sequence that will emit `tokens` tokens; smaller priorities go first.
+    /// Creates a sequence of `tokens` tokens. Smaller `priority` values are scheduled first.
     pub fn new(
         model: String,
         prompt: String,
@@ -71,18 +71,18 @@
     }
 }
 
-/// What a step did.
+/// Counts of one finished step.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepEnd {
-    /// Sequences in the batch.
+    /// Sequences in the batch during the step, cancelled ones included.
     pub sequences: usize,
-    /// Sequences that reached their end.
+    /// Sequences that generated their last token.
     pub completed: u64,
-    /// Sequences whose reader had gone.
+    /// Sequences removed because their reader was dropped.
     pub cancelled: u64,
 }
 
-/// The batch and its queue.
+/// The running batch, its queue and the prefix cache.
 #[derive(Debug)]
 pub struct BatchModel {
     limit: usize,
@@ -93,32 +93,33 @@
 }
 
 impl BatchModel {
-    /// An empty batch of at most `limit` sequences.
+    /// Creates an empty batch that runs at most `limit` sequences.
     pub fn new(limit: usize, times: BatchTimes) -> Self {
         Self { limit, times, waiting: Vec::new(), running: Vec::new(), prefixes: VecDeque::new() }
     }
 
-    /// Sequences in the batch.
+    /// Number of running sequences.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Sequences waiting for a place.
+    /// Number of sequences that wait for a batch slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adapters in use, by waiting sequences too.
+    /// Adapters of the running and waiting sequences.
     pub fn models(&self) -> BTreeSet<String> {
         self.waiting.iter().chain(&self.running).map(|sequence| sequence.model.clone()).collect()
     }
 
-    /// Adds a sequence.
+    /// Queues a sequence.
     pub fn push(&mut self, sequence: Sequence) {
         self.waiting.push(sequence);
     }
 
-    /// Fills the batch and returns the time of the next step; `None` if there is nothing to do.
+    /// Moves waiting sequences into the batch and returns the duration of the next step, or `None`
+    /// if the batch is empty.
     pub fn begin_step(&mut self) -> Option<Duration> {
         let mut prefill = 0;
         while self.running.len() < self.limit && !self.waiting.is_empty() {
@@ -138,7 +139,8 @@
         Some(steady + times.per_prompt_token * prefill)
     }
 
-    /// Ends a step: each sequence gets a token, and those that are done leave.
+    /// Ends a step: removes cancelled sequences, emits a token for each of the others, and removes
+    /// the completed ones.
     pub fn end_step(&mut self) -> StepEnd {
         let mut end = StepEnd { sequences: self.running.len(), ..StepEnd::default() };
         let before = self.running.len();
@@ -153,8 +155,8 @@
         end
     }
 
-    /// Drops the sequences of one adapter and returns how many there were.
-    pub fn lose_model(&mut self, model: &str) -> usize {
+    /// Aborts all sequences of an adapter and returns their number.
+    pub fn abort_model(&mut self, model: &str) -> usize {
         let mut lost = 0;
         for sequences in [&mut self.waiting, &mut self.running] {
             sequences.retain(|sequence| {
@@ -169,7 +171,7 @@
         lost
     }
 
-    /// Drops everything, as a restart does.
+    /// Aborts all sequences and empties the prefix cache, as a restart does.
     pub fn clear(&mut self) {
         for sequence in self.waiting.drain(..).chain(self.running.drain(..)) {
             let _ = sequence.events.send(TokenEvent::Lost);
@@ -177,6 +179,7 @@
         self.prefixes.clear();
     }
 
+    /// Prompt tokens to prefill, without those of a cached prefix; updates the cache (LRU).
     fn prefill_tokens(&mut self, prompt: &str) -> u32 {
         let prefix: String = prompt.chars().take(PREFIX_BYTES).collect();
         let known = self.prefixes.iter().position(|kept| *kept == prefix);
--- a/crates/standin/src/engine/control.rs
+++ b/crates/standin/src/engine/control.rs
@@ -1,6 +1,6 @@
-//! The engine stand-in's orders, reports and test controls.
+//! Adapter orders, metrics and test controls of the engine stand-in.
 
-use super::{EngineHandler, EngineState, engine_error, process_start, take_one};
+use super::{EngineHandler, EngineState, consume_fault, engine_error, process_start};
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use plantain_net::server::{HttpReply, json_reply, text_reply};
@@ -9,7 +9,7 @@
 use std::{fmt::Write, time::Duration};
 use tokio::time::sleep;
 
-/// Longest time that a load may take.
+/// Timeout of the download of an adapter's weights.
 const LOAD_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// An order to load or unload an adapter.
@@ -34,7 +34,7 @@
             sleep(Duration::from_millis(20)).await;
         }
         let mut state = self.state();
-        // A restart while the weights were on their way forgets the load.
+        // A restart during the download clears `loading`.
         if !state.loading.remove(&order.lora_name) {
             return engine_error(StatusCode::INTERNAL_SERVER_ERROR, "engine restarted");
         }
@@ -42,7 +42,9 @@
             Ok(answer) if answer.status == StatusCode::TOO_MANY_REQUESTS => {
                 engine_error(StatusCode::SERVICE_UNAVAILABLE, "weight store is busy")
             }
-            Ok(answer) if answer.status.is_success() && !take_one(&mut state.faults.fail_loads) => {
+            Ok(answer)
+                if answer.status.is_success() && !consume_fault(&mut state.faults.fail_loads) =>
+            {
                 state.records.loads += 1;
                 state.adapters.insert(order.lora_name);
                 text_reply(StatusCode::OK, "loaded")
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -23,54 +23,55 @@
     time::sleep,
 };
 
-/// Largest datagram.
+/// Receive buffer for a datagram, in bytes.
 const DATAGRAM_LIMIT: usize = 65_536;
 
-/// Which transport a proxy carries.
+/// Transport protocol of a proxy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProxyTransport {
-    /// Connections.
+    /// Proxies TCP connections.
     Tcp,
-    /// Datagrams.
+    /// Proxies UDP datagrams, one upstream socket per client address.
     Udp,
 }
 
-/// Settings of a proxy.
+/// Settings of a fault proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyOptions {
-    /// What it carries.
+    /// Transport protocol to proxy.
     pub transport: ProxyTransport,
-    /// Where it listens.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where it sends on.
+    /// Address to forward to.
     pub upstream: SocketAddr,
-    /// Where it takes `POST /standin/faults`.
+    /// Listen address of the control API, which sets the faults.
     pub control: SocketAddr,
 }
 
-/// Faults of one direction.
+/// Faults of one direction of a proxy.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct DirectionFaults {
-    /// Nothing passes, and nothing is closed.
+    /// Whether nothing is forwarded. TCP data waits and connections stay open; datagrams are lost.
     pub stall: bool,
-    /// Everything is held back for this long.
+    /// Delay of everything that is forwarded, in milliseconds.
     pub delay_ms: u64,
-    /// Share of datagrams that are dropped.
+    /// Share of datagrams that are dropped, from 0 to 1; TCP ignores it.
     pub drop: f64,
-    /// TCP: connections are closed once so many more bytes have passed; 0 means never.
+    /// TCP: connections are closed after this many bytes, counted over all connections since the
+    /// faults were set; 0 means never.
     pub cut_after: u64,
 }
 
-/// Faults of a proxy.
+/// Faults that a proxy injects.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct ProxyFaults {
-    /// Connections are reset and refused; datagrams are dropped.
+    /// Whether connections are reset, new ones are closed at once, and datagrams are dropped.
     pub cut: bool,
-    /// Towards the upstream.
+    /// Faults from the client to the upstream.
     pub up: DirectionFaults,
-    /// Towards the client.
+    /// Faults from the upstream to the client.
     pub down: DirectionFaults,
 }
 
@@ -83,8 +84,8 @@
 #[derive(Clone)]
 struct ProxyState {
     faults: watch::Receiver<ProxyFaults>,
-    passed_up: Arc<AtomicU64>,
-    passed_down: Arc<AtomicU64>,
+    bytes_up: Arc<AtomicU64>,
+    bytes_down: Arc<AtomicU64>,
 }
 
 impl ProxyState {
@@ -98,13 +99,13 @@
 
     fn passed(&self, direction: ProxyDirection) -> &AtomicU64 {
         match direction {
-            ProxyDirection::Up => &self.passed_up,
-            ProxyDirection::Down => &self.passed_down,
+            ProxyDirection::Up => &self.bytes_up,
+            ProxyDirection::Down => &self.bytes_down,
         }
     }
 
-    /// Waits out stalls and delays; false if the connection is to be cut.
-    async fn pass(&self, direction: ProxyDirection, bytes: usize) -> bool {
+    /// Waits until a stall ends, then for the delay; false if the connection is to be closed.
+    async fn apply_faults(&self, direction: ProxyDirection, bytes: usize) -> bool {
         let mut faults = self.faults.clone();
         let stalled = |faults: &ProxyFaults| match direction {
             ProxyDirection::Up => faults.up.stall && !faults.cut,
@@ -123,7 +124,7 @@
     }
 }
 
-/// A proxy that runs for as long as this lives.
+/// A running proxy; dropping it stops the proxy.
 pub struct FaultProxy {
     faults: watch::Sender<ProxyFaults>,
     state: ProxyState,
@@ -131,7 +132,7 @@
 }
 
 impl FaultProxy {
-    /// Listens, and carries everything until it is dropped.
+    /// Binds `listen` and forwards to `upstream` in a background task, without faults at first.
     pub async fn start(
         transport: ProxyTransport,
         listen: SocketAddr,
@@ -139,26 +140,26 @@
     ) -> Result<Self> {
         let (faults, receiver) = watch::channel(ProxyFaults::default());
         let state =
-            ProxyState { faults: receiver, passed_up: Arc::default(), passed_down: Arc::default() };
-        let carried = state.clone();
+            ProxyState { faults: receiver, bytes_up: Arc::default(), bytes_down: Arc::default() };
+        let proxy_state = state.clone();
         let task = match transport {
             ProxyTransport::Tcp => {
                 let listener = server::bind(listen, "proxy").await?;
-                tokio::spawn(carry_tcp(listener, upstream, carried))
+                tokio::spawn(proxy_tcp(listener, upstream, proxy_state))
             }
             ProxyTransport::Udp => {
                 let socket = UdpSocket::bind(listen).await;
                 let socket = socket.wrap_err_with(|| format!("bind proxy on {listen}"))?;
-                tokio::spawn(carry_udp(socket, upstream, carried))
+                tokio::spawn(proxy_udp(socket, upstream, proxy_state))
             }
         };
         Ok(Self { faults, state, task })
     }
 
-    /// Replaces the faults; bytes count anew towards a cut.
+    /// Replaces the faults and resets the byte counts for `cut_after`.
     pub fn set(&self, faults: ProxyFaults) {
-        self.state.passed_up.store(0, Ordering::Release);
-        self.state.passed_down.store(0, Ordering::Release);
+        self.state.bytes_up.store(0, Ordering::Release);
+        self.state.bytes_down.store(0, Ordering::Release);
         self.faults.send_replace(faults);
     }
 }
@@ -191,7 +192,7 @@
     }
 }
 
-/// Runs a proxy, and the page that sets its faults, until `stopping`.
+/// Runs a proxy and its control API until `stopping`.
 pub async fn run(options: ProxyOptions, stopping: watch::Receiver<bool>) -> Result<()> {
     let control = server::bind(options.control, "proxy control").await?;
     let proxy = FaultProxy::start(options.transport, options.listen, options.upstream).await?;
@@ -200,26 +201,26 @@
     Ok(())
 }
 
-async fn carry_tcp(listener: TcpListener, upstream: SocketAddr, state: ProxyState) {
+async fn proxy_tcp(listener: TcpListener, upstream: SocketAddr, state: ProxyState) {
     while let Ok((client, _)) = listener.accept().await {
         if state.faults.borrow().cut {
             continue;
         }
-        tokio::spawn(carry_connection(client, upstream, state.clone()));
+        tokio::spawn(proxy_connection(client, upstream, state.clone()));
     }
 }
 
-async fn carry_connection(mut client: TcpStream, upstream: SocketAddr, state: ProxyState) {
+async fn proxy_connection(mut client: TcpStream, upstream: SocketAddr, state: ProxyState) {
     let Ok(mut server) = TcpStream::connect(upstream).await else { return };
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let is_cut = {
         let (client_read, client_write) = client.split();
         let (server_read, server_write) = server.split();
-        let up = carry_stream(client_read, server_write, &state, ProxyDirection::Up);
-        let down = carry_stream(server_read, client_write, &state, ProxyDirection::Down);
+        let up = copy_stream(client_read, server_write, &state, ProxyDirection::Up);
+        let down = copy_stream(server_read, client_write, &state, ProxyDirection::Down);
         let mut faults = state.faults.clone();
         tokio::select! {
-            // A half-closed connection stays open in the other direction.
+            // The other direction of a half-closed connection stays open.
             _ = async { tokio::join!(up, down) } => false,
             _ = faults.wait_for(|faults| faults.cut) => true,
         }
@@ -229,7 +230,7 @@
     }
 }
 
-async fn carry_stream(
+async fn copy_stream(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
     state: &ProxyState,
@@ -237,7 +238,7 @@
 ) {
     let mut buffer = vec![0; 16 << 10];
     while let Ok(count) = from.read(&mut buffer).await {
-        if count == 0 || !state.pass(direction, count).await {
+        if count == 0 || !state.apply_faults(direction, count).await {
             break;
         }
         if to.write_all(&buffer[..count]).await.is_err() {
@@ -247,7 +248,7 @@
     let _ = to.shutdown().await;
 }
 
-async fn carry_udp(socket: UdpSocket, upstream: SocketAddr, state: ProxyState) {
+async fn proxy_udp(socket: UdpSocket, upstream: SocketAddr, state: ProxyState) {
     let socket = Arc::new(socket);
     let flows: Arc<Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>> = Arc::default();
     let mut buffer = vec![0; DATAGRAM_LIMIT];
@@ -266,7 +267,7 @@
         let datagram = buffer[..count].to_vec();
         let state = state.clone();
         tokio::spawn(async move {
-            if pass_datagram(&state, ProxyDirection::Up, count).await {
+            if admit_datagram(&state, ProxyDirection::Up, count).await {
                 let _ = flow.send(&datagram).await;
             }
         });
@@ -285,14 +286,15 @@
     tokio::spawn(async move {
         let mut buffer = vec![0; DATAGRAM_LIMIT];
         loop {
-            // A refused datagram shows as an error here; the upstream may come back.
+            // A connected UDP socket reports a refused datagram (ICMP) as an error. The upstream
+            // may start again, so the flow stays open.
             let Ok(count) = reader.recv(&mut buffer).await else {
                 sleep(Duration::from_millis(5)).await;
                 continue;
             };
             let (datagram, back, state) = (buffer[..count].to_vec(), back.clone(), state.clone());
             tokio::spawn(async move {
-                if pass_datagram(&state, ProxyDirection::Down, count).await {
+                if admit_datagram(&state, ProxyDirection::Down, count).await {
                     let _ = back.send_to(&datagram, client).await;
                 }
             });
@@ -301,9 +303,10 @@
     Some(flow)
 }
 
-/// Datagrams of a stalled direction are lost, as on a real network.
-async fn pass_datagram(state: &ProxyState, direction: ProxyDirection, count: usize) -> bool {
+/// Applies the faults to a datagram; false if it is dropped. A stall drops datagrams, as a real
+/// network does.
+async fn admit_datagram(state: &ProxyState, direction: ProxyDirection, count: usize) -> bool {
     let set = state.direction(direction);
     let dropped = set.drop > 0.0 && rand::rng().random_bool(set.drop.min(1.0));
-    !dropped && !set.stall && state.pass(direction, count).await
+    !dropped && !set.stall && state.apply_faults(direction, count).await
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -22,10 +22,10 @@
 use std::process::ExitCode;
 use tokio::runtime::Builder;
 
-/// Exit status of a wrong command line.
+/// Exit status for invalid command-line arguments.
 const USAGE_STATUS: u8 = 2;
 
-/// Reads the command line and runs one stand-in or tool.
+/// Parses the command line and runs the selected stand-in or tool.
 pub fn run() -> ExitCode {
     let command = match options::read() {
         Ok(command) => command,
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of the stand-ins.
+//! Binary that runs the stand-ins and the tools that use them.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform: versioned objects, conditional writes, watches and a lagging host
-//! list, with faults that can be set at run time under `/standin/`.
+//! Stand-in for the platform: versioned objects, conditional writes, watches and a delayed host
+//! list. Faults can be set at run time under `/standin/`.
 
 use bytes::Bytes;
 use eyre::Result;
@@ -22,19 +22,19 @@
     time::{sleep, timeout},
 };
 
-/// Largest value of an object.
+/// Largest object value, in bytes.
 const VALUE_LIMIT: usize = 1 << 20;
 
-/// Settings of the stand-in.
+/// Settings of the platform stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Where it listens.
+    /// Listen address for API and test controls.
     pub listen: SocketAddr,
-    /// Writes that it takes a second.
+    /// Limit of writes a second; excess calls get status 429.
     pub writes_per_second: u32,
-    /// Reads that it takes a second, waiting watches included.
+    /// Limit of reads a second, watches included; excess calls get status 429.
     pub reads_per_second: u32,
-    /// How far the host list lags.
+    /// Delay until a change of the host list becomes visible.
     pub host_lag: Duration,
 }
 
@@ -42,26 +42,26 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every call fails with status 503.
+    /// Whether every call fails with status 503.
     pub down: bool,
-    /// Each call is answered this much later.
+    /// Delay before each call is processed, in milliseconds.
     pub delay_ms: u64,
-    /// So many writes take effect, but their answers are lost.
+    /// Number of the next writes that take effect but are answered with status 504.
     pub lose_answers: u32,
 }
 
-/// Calls counted so far, from `GET /standin/calls`.
+/// Call counters since the start, served at `GET /standin/calls`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CallCounts {
-    /// Gets, lists and host lists.
+    /// Reads of objects, object lists and host lists.
     pub reads: u64,
     /// Writes and deletions.
     pub writes: u64,
-    /// Watches.
+    /// Watch calls.
     pub watches: u64,
-    /// Conditional writes refused.
+    /// Conditional writes refused because the version did not match.
     pub conflicts: u64,
-    /// Calls over the rate.
+    /// Calls refused by the rate limits.
     pub limited: u64,
 }
 
@@ -276,7 +276,7 @@
                 Ok(faults) => {
                     state.faults = faults;
                     drop(state);
-                    // Waiting watches see an outage at once.
+                    // Wakes pending watches, so that they fail at once in an outage.
                     self.changed.send_modify(|_| {});
                     text_reply(StatusCode::OK, "set")
                 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a plain service: echoes each call and keeps a record of it, so that a test can
-//! count how often a key was executed.
+//! Stand-in for a plain service: echoes each call and records it, so that a test can count how
+//! often a call with an idempotency key was executed.
 
 use eyre::Result;
 use http_body_util::BodyExt;
@@ -17,25 +17,25 @@
 };
 use tokio::{sync::watch, time::sleep};
 
-/// Settings of the stand-in.
+/// Settings of the service stand-in.
 #[derive(Clone, Debug)]
 pub struct ServiceOptions {
-    /// Where it listens.
+    /// Listen address for calls and test controls.
     pub listen: SocketAddr,
-    /// Time that a call takes.
+    /// Processing time of a call.
     pub call_time: Duration,
 }
 
-/// One executed call.
+/// An executed call, served at `GET /standin/calls`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallRecord {
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// `Idempotency-Key` header.
+    /// Value of the `idempotency-key` header, if present.
     pub key: Option<String>,
-    /// Size of the body.
+    /// Size of the request body in bytes.
     pub body_bytes: usize,
 }
 
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// So many calls are executed twice.
+    /// Number of the next calls that are executed twice.
     pub execute_twice: u32,
-    /// Calls are turned away with this as `Retry-After`.
+    /// If set, calls are answered with status 503 and this value as `Retry-After`.
     pub rest: Option<String>,
 }
 
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the weight store: a rate limit, and full speed for only a few loads at once.
+//! Stand-in for the weight store: limits the rate of loads, and slows loads down when too many run
+//! at once.
 
 use eyre::Result;
 use hyper::{Request, StatusCode, body::Incoming};
@@ -11,32 +12,32 @@
 };
 use tokio::{sync::watch, time::sleep};
 
-/// Slices that a load is cut into, so that its speed follows the number of loads under way.
+/// Number of steps of a load; its speed is adapted to the number of concurrent loads at each step.
 const LOAD_SLICES: u32 = 20;
 
-/// Settings of the stand-in.
+/// Settings of the weight store stand-in.
 #[derive(Clone, Debug)]
 pub struct WeightOptions {
-    /// Where it listens.
+    /// Listen address for loads and counters.
     pub listen: SocketAddr,
-    /// Loads that may begin in a second; others are refused.
+    /// Loads that may start per second; others get status 429.
     pub rate: f64,
-    /// Loads at full speed at once; more of them share that speed.
+    /// Concurrent loads that run at full speed; more loads share that bandwidth.
     pub full_speed: u32,
-    /// Time of a load at full speed.
+    /// Duration of a load at full speed.
     pub load_time: Duration,
 }
 
-/// What the store has done, from `GET /standin/counts`.
+/// Counters of the weight store, served at `GET /standin/counts`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WeightCounts {
-    /// Loads begun.
+    /// Loads started.
     pub loads: u64,
-    /// Loads refused for the rate.
+    /// Loads refused by the rate limit.
     pub refused: u64,
-    /// Most loads at once.
+    /// Highest number of concurrent loads.
     pub peak: u32,
-    /// Loads under way.
+    /// Loads in progress.
     pub active: u32,
 }
 
@@ -103,6 +104,7 @@
     }
 }
 
+/// Counts a load as active until it is dropped.
 struct ActiveLoad(Arc<Mutex<WeightState>>);
 
 impl ActiveLoad {
--- a/crates/standin/tests/integration/answers.rs
+++ b/crates/standin/tests/integration/answers.rs
@@ -54,7 +54,7 @@
     cluster.set(cluster.engine(0), "/standin/faults", &faults).await?;
     cluster.set(cluster.engine(1), "/standin/faults", &faults).await?;
     // One engine cuts the first answer, the other the second one; later ones are whole.
-    let call = ChatCall::new("house-0001@2", "Open?", 5).with_whole_answer();
+    let call = ChatCall::new("house-0001@2", "Open?", 5).without_streaming();
     let first = call.send(cluster.http(), cluster.entry(0)).await?;
     ensure!(first.status == 502 || call.check(&first, "house-0001@2").is_ok(), "{}", first.text());
     cluster
--- a/crates/standin/tests/integration/path.rs
+++ b/crates/standin/tests/integration/path.rs
@@ -21,7 +21,7 @@
 #[tokio::test]
 async fn rolled_out_version_answers_where_none_is_named() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    let call = ChatCall::new("house-0003", "Which hall?", 5).with_whole_answer();
+    let call = ChatCall::new("house-0003", "Which hall?", 5).without_streaming();
     ask(&cluster, 0, &call, "house-0003@1").await?;
     cluster.control_ok(&["--wait", "30", "adapter", "roll-out", "house-0003", "2"]).await?;
     ask(&cluster, 0, &call, "house-0003@2").await?;
