--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A complete system of real processes on loopback, for tests, the demo and the benchmarks.
+//! Test cluster: a complete system of real processes on loopback, for tests, demo and benchmarks.
 
 pub mod plan;
 pub mod process;
@@ -22,18 +22,19 @@
 };
 use tokio::{process::Command, time::sleep};
 
-/// Key of the links between the processes of a test system.
+/// Shared peer key of the links between entries and agents of a test cluster.
 pub const TEST_KEY: &str = "5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a";
-/// Longest wait for a condition.
-pub const CONDITION_LIMIT: Duration = Duration::from_mins(1);
-/// Pause between looks at a condition.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait for a page of a process.
+/// Timeout of `Cluster::wait_for`.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_mins(1);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a request to an admin page or a stand-in.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// Number of clusters started in this process; gives each its own loopback address.
 static CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// A running system.
+/// A running cluster; its processes are killed when it is dropped.
 pub struct Cluster {
     ip: IpAddr,
     plan: ClusterPlan,
@@ -43,7 +44,7 @@
 }
 
 impl Cluster {
-    /// Starts all processes of a plan and waits until requests can be served.
+    /// Starts all processes of a plan and waits until all entries and targets are ready.
     pub async fn start(plan: ClusterPlan) -> Result<Self> {
         let mut cluster = Self {
             ip: loopback_address(),
@@ -67,67 +68,67 @@
         Ok(cluster)
     }
 
-    /// The client that the system's pages are read with.
+    /// HTTP client that is shared by all requests of the cluster.
     pub fn http(&self) -> &HttpClient {
         &self.http
     }
 
-    /// Where logs of the processes are kept.
+    /// Directory of the processes' log files.
     pub fn directory(&self) -> &std::path::Path {
         self.directory.path()
     }
 
-    /// The platform's address.
+    /// Address of the platform.
     pub fn platform(&self) -> SocketAddr {
         self.address(plan::PLATFORM_PORT)
     }
 
-    /// The weight store's address.
+    /// Address of the weight store.
     pub fn weights(&self) -> SocketAddr {
         self.address(plan::WEIGHTS_PORT)
     }
 
-    /// The address of entry `index` for callers.
+    /// Address of entry `index` for callers.
     pub fn entry(&self, index: usize) -> SocketAddr {
         self.address(plan::ENTRY_PORT + index as u16)
     }
 
-    /// The address of an entry's admin pages.
+    /// Address of the admin pages of entry `index`.
     pub fn entry_admin(&self, index: usize) -> SocketAddr {
         self.address(plan::ENTRY_ADMIN_PORT + index as u16)
     }
 
-    /// The address of engine `index`.
+    /// Address of engine `index`.
     pub fn engine(&self, index: usize) -> SocketAddr {
         self.address(plan::ENGINE_PORT + index as u16)
     }
 
-    /// The address of the agent of engine `index` for entries.
+    /// Address for entries of the agent of engine `index`.
     pub fn engine_agent(&self, index: usize) -> SocketAddr {
         self.address(plan::ENGINE_AGENT_PORT + index as u16)
     }
 
-    /// The address of the admin pages of the agent of engine `index`.
+    /// Address of the admin pages of the agent of engine `index`.
     pub fn engine_agent_admin(&self, index: usize) -> SocketAddr {
         self.address(plan::ENGINE_AGENT_ADMIN_PORT + index as u16)
     }
 
-    /// The address of plain service `index`.
+    /// Address of plain service `index`.
     pub fn service(&self, index: usize) -> SocketAddr {
         self.address(plan::SERVICE_PORT + index as u16)
     }
 
-    /// The address of the admin pages of the agent of service `index`.
+    /// Address of the admin pages of the agent of service `index`.
     pub fn service_agent_admin(&self, index: usize) -> SocketAddr {
         self.address(plan::SERVICE_AGENT_ADMIN_PORT + index as u16)
     }
 
-    /// A spare address, for a proxy.
+    /// Unused address `index`, for processes that a test adds.
     pub fn spare(&self, index: u16) -> SocketAddr {
         self.address(plan::SPARE_PORT + index)
     }
 
-    /// Runs the command-line tool.
+    /// Runs `plantainctl` against the cluster's platform, whatever its exit status.
     pub async fn control(&self, arguments: &[&str]) -> Result<Output> {
         let platform = self.platform().to_string();
         Command::new(binary("plantainctl")?)
@@ -138,7 +139,7 @@
             .wrap_err("run plantainctl")
     }
 
-    /// Runs the command-line tool and checks that it succeeds; returns what it prints.
+    /// Runs `plantainctl`, fails unless it succeeds, and returns its standard output.
     pub async fn control_ok(&self, arguments: &[&str]) -> Result<String> {
         let output = self.control(arguments).await?;
         let error = String::from_utf8_lossy(&output.stderr);
@@ -146,7 +147,7 @@
         Ok(String::from_utf8_lossy(&output.stdout).into_owned())
     }
 
-    /// Reads a JSON page.
+    /// Reads a JSON page of a process.
     pub async fn page<T: serde::de::DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -155,7 +156,7 @@
         self.http.get_json(&url(peer, path), PAGE_TIMEOUT).await
     }
 
-    /// Sets faults of a stand-in.
+    /// Posts a JSON value to a control page of a stand-in, such as its faults.
     pub async fn set<T: Serialize + Sync>(
         &self,
         peer: SocketAddr,
@@ -165,14 +166,14 @@
         self.http.post_json(&url(peer, path), value, PAGE_TIMEOUT).await.map(drop)
     }
 
-    /// Starts a further process under a name.
+    /// Starts an additional process; `name` identifies it in later calls.
     pub fn start_process(&mut self, name: &str, program: &str, arguments: &[String]) -> Result<()> {
         let process = ManagedProcess::start(&self.directory, name, program, arguments)?;
         self.processes.insert(name.to_owned(), process);
         Ok(())
     }
 
-    /// Sends a signal to a process.
+    /// Sends a signal to the process `name`.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
         match self.processes.get(name) {
             Some(process) => process.signal(signal),
@@ -180,47 +181,49 @@
         }
     }
 
-    /// Whether a process was started and not ended by this system.
+    /// Whether a process was started and neither killed nor stopped by this cluster; it may have
+    /// crashed.
     pub fn has(&self, name: &str) -> bool {
         self.processes.contains_key(name)
     }
 
-    /// The process id of a process.
+    /// Process id of a running process.
     pub fn process_id(&self, name: &str) -> Option<u32> {
         self.processes.get(name).and_then(ManagedProcess::id)
     }
 
-    /// Kills a process without warning.
+    /// Kills a process with SIGKILL and waits for its end.
     pub async fn kill(&mut self, name: &str) -> Result<()> {
         let Some(process) = self.processes.remove(name) else { bail!("no process {name}") };
         process.kill().await
     }
 
-    /// Asks a process to stop and waits until it has; returns whether it ended in order.
+    /// Stops a process with SIGTERM and waits for its end; true if its exit status is 0.
     pub async fn stop(&mut self, name: &str) -> Result<bool> {
         let Some(process) = self.processes.remove(name) else { bail!("no process {name}") };
         process.stop().await
     }
 
-    /// Waits until a condition holds.
+    /// Polls a condition until it holds; `what` describes it in the error after the timeout.
     pub async fn wait_for<F>(&self, what: &str, condition: F) -> Result<()>
     where
         F: AsyncFn() -> Result<bool>,
     {
         let started = Instant::now();
         let mut last = None;
-        while started.elapsed() < CONDITION_LIMIT {
+        while started.elapsed() < CONDITION_TIMEOUT {
             match condition().await {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
                 Err(error) => last = Some(error),
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        bail!("{what}: not so after {CONDITION_LIMIT:?}; last error: {last:?}")
+        bail!("{what}: condition not met after {CONDITION_TIMEOUT:?}; last error: {last:?}")
     }
 
-    /// Waits until each entry knows every target, and each target is up.
+    /// Waits until each agent reports its target as up, and each entry is ready and has all targets
+    /// open.
     pub async fn wait_ready(&self) -> Result<()> {
         let targets = self.plan.engines.len() + self.plan.services.len();
         let agents = (0..self.plan.engines.len()).map(|index| self.engine_agent_admin(index));
@@ -245,7 +248,7 @@
         Ok(())
     }
 
-    /// Waits until a configuration revision is in force in each entry and agent.
+    /// Waits until each entry and engine's agent runs on configuration `revision` or a newer one.
     pub async fn wait_revision(&self, revision: u64) -> Result<()> {
         let entries = (0..self.plan.entries.len()).map(|index| self.entry_admin(index));
         let agents = (0..self.plan.engines.len()).map(|index| self.engine_agent_admin(index));
@@ -259,9 +262,10 @@
         Ok(())
     }
 
-    /// Stops all processes gracefully, entries first; true if each ended in order.
+    /// Stops all processes gracefully: entries, agents, then the rest. True if all exit with
+    /// status 0.
     pub async fn shut_down(mut self) -> Result<bool> {
-        let mut in_order = true;
+        let mut all_succeeded = true;
         for prefix in ["entry", "agent", ""] {
             let names: Vec<String> =
                 self.processes.keys().filter(|name| name.starts_with(prefix)).cloned().collect();
@@ -269,14 +273,14 @@
                 self.signal(name, Signal::SIGTERM)?;
             }
             for name in names {
-                in_order &= self.stop(&name).await?;
+                all_succeeded &= self.stop(&name).await?;
             }
         }
-        Ok(in_order)
+        Ok(all_succeeded)
     }
 
-    /// Starts the engines again whose processes have ended; returns how many.
-    pub fn revive_engines(&mut self) -> Result<usize> {
+    /// Restarts the engines whose processes have ended and returns their number.
+    pub fn restart_crashed_engines(&mut self) -> Result<usize> {
         let mut count = 0;
         for index in 0..self.plan.engines.len() {
             let process = self.processes.get_mut(&format!("engine-{index}"));
@@ -288,9 +292,9 @@
         Ok(count)
     }
 
-    /// Starts engine `index`.
+    /// Starts the process of engine `index`.
     pub fn start_engine(&mut self, index: usize) -> Result<()> {
-        let mut arguments = words(&["engine", "--listen", &self.engine(index).to_string()]);
+        let mut arguments = to_strings(&["engine", "--listen", &self.engine(index).to_string()]);
         arguments.extend(EnginePlan::engine_arguments(&self.plan));
         self.start_process(&format!("engine-{index}"), "plantain-standin", &arguments)
     }
@@ -301,12 +305,16 @@
         self.start_engine_agent_at(index, engine)
     }
 
-    /// Starts the agent of engine `index` with another address for the engine, as of a proxy.
+    /// Starts the agent of engine `index` with `engine` as the engine's address, such as a proxy's.
     pub fn start_engine_agent_at(&mut self, index: usize, engine: SocketAddr) -> Result<()> {
         let plan: EnginePlan = self.plan.engines[index].clone();
         let mut arguments = vec!["agent".to_owned()];
-        arguments.extend(self.common(&plan.name, &plan.site, self.engine_agent_admin(index)));
-        arguments.extend(words(&[
+        arguments.extend(self.common_arguments(
+            &plan.name,
+            &plan.site,
+            self.engine_agent_admin(index),
+        ));
+        arguments.extend(to_strings(&[
             "--listen",
             &self.engine_agent(index).to_string(),
             "--target",
@@ -320,13 +328,14 @@
         self.start_process(&format!("agent-engine-{index}"), "plantaind", &arguments)
     }
 
-    /// Address of the control of the proxy before agent `index`; services' agents follow engines'.
+    /// Control address of the link proxy of agent `index`; indices of services' agents follow those
+    /// of engines' agents.
     pub fn link_control(&self, index: usize) -> SocketAddr {
         self.address(plan::LINK_CONTROL_PORT + index as u16)
     }
 
-    /// Starts a proxy before an agent, if the plan has them and it does not run yet, and returns
-    /// the agent's arguments to be reached through it.
+    /// Starts the link proxy of an agent unless it runs already, and returns the arguments with
+    /// which the agent announces the proxy's address. Does nothing if the plan has no link proxies.
     fn start_link_proxy(&mut self, index: u16, upstream: &str) -> Result<Vec<String>> {
         if !self.plan.link_proxies {
             return Ok(Vec::new());
@@ -335,7 +344,7 @@
         let control = self.link_control(index.into()).to_string();
         let name = format!("link-{index}");
         if !self.processes.contains_key(&name) {
-            let arguments = words(&[
+            let arguments = to_strings(&[
                 "fault",
                 "--transport",
                 "udp",
@@ -348,15 +357,15 @@
             ]);
             self.start_process(&name, "plantain-standin", &arguments)?;
         }
-        Ok(words(&["--announce", &listen]))
+        Ok(to_strings(&["--announce", &listen]))
     }
 
-    /// Starts another agent for engine `index` on another host, as a successor would be.
+    /// Starts a second agent for engine `index`, which competes with the first one for its slot.
     pub fn start_successor(&mut self, index: usize) -> Result<()> {
         let plan: EnginePlan = self.plan.engines[index].clone();
         let mut arguments = vec!["agent".to_owned()];
-        arguments.extend(self.common(&plan.name, &plan.site, self.spare(0)));
-        arguments.extend(words(&[
+        arguments.extend(self.common_arguments(&plan.name, &plan.site, self.spare(0)));
+        arguments.extend(to_strings(&[
             "--listen",
             &self.spare(1).to_string(),
             "--target",
@@ -373,16 +382,16 @@
         let site: &SitePlan = &self.plan.entries[index];
         let name = format!("entry-{index}");
         let mut arguments = vec!["entry".to_owned()];
-        arguments.extend(self.common(&name, site, self.entry_admin(index)));
+        arguments.extend(self.common_arguments(&name, site, self.entry_admin(index)));
         let listen = self.entry(index).to_string();
-        arguments.extend(words(&["--listen", &listen, "--policy", &self.plan.policy]));
+        arguments.extend(to_strings(&["--listen", &listen, "--policy", &self.plan.policy]));
         let peer = self.address(plan::ENTRY_PEER_PORT + index as u16).to_string();
         let rate = self.plan.store_rate.to_string();
-        arguments.extend(words(&["--peer-listen", &peer, "--store-rate", &rate]));
-        arguments.extend(words(&["--load-order", &self.plan.load_order]));
+        arguments.extend(to_strings(&["--peer-listen", &peer, "--store-rate", &rate]));
+        arguments.extend(to_strings(&["--load-order", &self.plan.load_order]));
         for other in (0..self.plan.entries.len()).filter(|&other| other != index) {
             let peer = self.address(plan::ENTRY_PEER_PORT + other as u16).to_string();
-            arguments.extend(words(&["--peer", &peer]));
+            arguments.extend(to_strings(&["--peer", &peer]));
         }
         self.start_process(&name, "plantaind", &arguments)
     }
@@ -390,30 +399,34 @@
     fn start_service(&mut self, index: usize) -> Result<()> {
         let listen = self.service(index).to_string();
         let call_ms = self.plan.call_ms.to_string();
-        let service = words(&["service", "--listen", &listen, "--call-ms", &call_ms]);
+        let service = to_strings(&["service", "--listen", &listen, "--call-ms", &call_ms]);
         self.start_process(&format!("service-{index}"), "plantain-standin", &service)?;
         self.restart_service_agent(index)
     }
 
-    /// Starts the agent of service `index`.
+    /// Starts the agent of service `index`; the service itself keeps running.
     pub fn restart_service_agent(&mut self, index: usize) -> Result<()> {
         let plan: ServicePlan = self.plan.services[index].clone();
         let target = self.service(index).to_string();
         let mut agent = vec!["agent".to_owned()];
-        agent.extend(self.common(&plan.name, &plan.site, self.service_agent_admin(index)));
+        agent.extend(self.common_arguments(
+            &plan.name,
+            &plan.site,
+            self.service_agent_admin(index),
+        ));
         let listen = self.address(plan::SERVICE_AGENT_PORT + index as u16).to_string();
-        agent.extend(words(&["--listen", &listen, "--target", &target]));
+        agent.extend(to_strings(&["--listen", &listen, "--target", &target]));
         let link = (self.plan.engines.len() + index) as u16;
         agent.extend(self.start_link_proxy(link, &listen)?);
-        agent.extend(words(&["--service", &plan.service]));
+        agent.extend(to_strings(&["--service", &plan.service]));
         self.start_process(&format!("agent-service-{index}"), "plantaind", &agent)
     }
 
     async fn start_standins(&mut self) -> Result<()> {
-        let mut platform = words(&["platform", "--listen", &self.platform().to_string()]);
+        let mut platform = to_strings(&["platform", "--listen", &self.platform().to_string()]);
         platform.extend(self.plan.platform_arguments());
         self.start_process("platform", "plantain-standin", &platform)?;
-        let mut weights = words(&["weights", "--listen", &self.weights().to_string()]);
+        let mut weights = to_strings(&["weights", "--listen", &self.weights().to_string()]);
         weights.extend(self.plan.weight_arguments());
         self.start_process("weights", "plantain-standin", &weights)?;
         let platform = self.platform();
@@ -424,7 +437,7 @@
         self.set(platform, "/standin/hosts", &self.hosts(&[])).await
     }
 
-    /// The host list, with the named hosts leaving.
+    /// Host list of the platform; the hosts named in `leaving` have the state `Leaving`.
     pub fn hosts(&self, leaving: &[&str]) -> Vec<HostRecord> {
         let engines = self.plan.engines.iter().map(|plan| (plan.name.clone(), &plan.site));
         let services = self.plan.services.iter().map(|plan| (plan.name.clone(), &plan.site));
@@ -443,8 +456,9 @@
         engines.chain(services).chain(entries).map(record).collect()
     }
 
-    fn common(&self, name: &str, site: &SitePlan, admin: SocketAddr) -> Vec<String> {
-        words(&[
+    /// Arguments that entries and agents have in common.
+    fn common_arguments(&self, name: &str, site: &SitePlan, admin: SocketAddr) -> Vec<String> {
+        to_strings(&[
             "--name",
             name,
             "--region",
@@ -465,8 +479,8 @@
     }
 }
 
-/// A loopback address of its own for each system, so that fixed ports never meet those of another
-/// test.
+/// Loopback address of a new cluster. It is derived from the process id and a counter, so that the
+/// fixed ports of concurrent clusters do not collide.
 fn loopback_address() -> IpAddr {
     let process = std::process::id();
     let index = CLUSTERS.fetch_add(1, Ordering::Relaxed);
@@ -474,6 +488,6 @@
     IpAddr::V4(Ipv4Addr::new(127, second as u8, process as u8, 1 + (index % 250) as u8))
 }
 
-fn words(words: &[&str]) -> Vec<String> {
+fn to_strings(words: &[&str]) -> Vec<String> {
     words.iter().map(|&word| word.to_owned()).collect()
 }
--- a/crates/standin/src/cluster/plan.rs
+++ b/crates/standin/src/cluster/plan.rs
@@ -1,58 +1,59 @@
-//! What a system on loopback consists of.
+//! Plan of a test cluster: its processes, their parameters and their ports.
 
-/// Ports, the same in every system.
+/// Port of the platform. All ports are the same in every cluster; only the address differs.
 pub const PLATFORM_PORT: u16 = 10_000;
 /// Port of the weight store.
 pub const WEIGHTS_PORT: u16 = 10_001;
-/// First port of entries for callers.
+/// Port of the first entry for callers; the ports of further entries follow.
 pub const ENTRY_PORT: u16 = 11_000;
-/// First port of entries' admin pages.
+/// First port of the entries' admin pages.
 pub const ENTRY_ADMIN_PORT: u16 = 12_000;
-/// First port of entries for agents.
+/// First port on which entries accept requests for load permits from agents.
 pub const ENTRY_PEER_PORT: u16 = 12_500;
-/// First port of engines.
+/// First port of the engines.
 pub const ENGINE_PORT: u16 = 13_000;
-/// First port of engines' agents.
+/// First port of the engines' agents.
 pub const ENGINE_AGENT_PORT: u16 = 14_000;
 /// First port of the admin pages of engines' agents.
 pub const ENGINE_AGENT_ADMIN_PORT: u16 = 15_000;
-/// First port of plain services.
+/// First port of the plain services.
 pub const SERVICE_PORT: u16 = 16_000;
-/// First port of services' agents.
+/// First port of the services' agents.
 pub const SERVICE_AGENT_PORT: u16 = 17_000;
 /// First port of the admin pages of services' agents.
 pub const SERVICE_AGENT_ADMIN_PORT: u16 = 18_000;
-/// First port of proxies on the links to agents; services' agents follow engines' ones.
+/// First port of the proxies on the links to agents; those of services' agents follow those of
+/// engines' agents.
 pub const LINK_PORT: u16 = 20_000;
-/// First port of the controls of those proxies.
+/// First port of the control APIs of those proxies.
 pub const LINK_CONTROL_PORT: u16 = 21_000;
-/// First spare port.
+/// First port that the cluster leaves to tests.
 pub const SPARE_PORT: u16 = 19_000;
 
-/// Where a host is.
+/// Location of a host.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
-    /// Its region.
+    /// Region name.
     pub region: String,
-    /// Its availability zone.
+    /// Availability zone name.
     pub zone: String,
 }
 
 impl SitePlan {
-    /// A host in a zone.
+    /// Creates a location from region and zone.
     pub fn new(region: &str, zone: &str) -> Self {
         Self { region: region.to_owned(), zone: zone.to_owned() }
     }
 }
 
-/// An engine and its agent.
+/// Plan of an engine and its agent.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
-    /// Name of the host and its slot.
+    /// Name of the host and of its slot.
     pub name: String,
-    /// Base model.
+    /// Base model that the engine serves.
     pub base: String,
-    /// Where it is.
+    /// Location of the host.
     pub site: SitePlan,
 }
 
@@ -87,65 +88,65 @@
     }
 }
 
-/// A plain service replica and its agent.
+/// Plan of a replica of a plain service and its agent.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Name of the host and its slot.
+    /// Name of the host and of its slot.
     pub name: String,
-    /// The service.
+    /// Service name.
     pub service: String,
-    /// Where it is.
+    /// Location of the host.
     pub site: SitePlan,
 }
 
-/// A system.
+/// Plan of a test cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
-    /// Where the entries are.
+    /// Locations of the entries, one per entry.
     pub entries: Vec<SitePlan>,
-    /// Engines.
+    /// Engines, each with an agent.
     pub engines: Vec<EnginePlan>,
-    /// Plain services.
+    /// Replicas of plain services, each with an agent.
     pub services: Vec<ServicePlan>,
-    /// Routing policy.
+    /// Routing policy of the entries, by name.
     pub policy: String,
-    /// Eviction policy.
+    /// Eviction policy of the agents, by name.
     pub eviction: String,
-    /// Adapter slots of an engine.
+    /// Adapter slots per engine.
     pub slots: usize,
-    /// Sequences that an engine runs at once.
+    /// Most sequences in an engine's batch.
     pub batch_limit: usize,
-    /// Time of an engine's step, in microseconds.
+    /// Base time of an engine's batch step, in microseconds.
     pub step_us: u64,
     /// Time that each sequence adds to a step, in microseconds.
     pub sequence_us: u64,
     /// Time that each distinct adapter adds to a step, in microseconds.
     pub adapter_us: u64,
-    /// Time that each prompt token adds to a step, in microseconds.
+    /// Time that each prompt token to prefill adds to a step, in microseconds.
     pub prompt_us: u64,
-    /// Loads that the weight store lets begin in a second.
+    /// Loads that may start per second at the weight store; entries grant load permits at this rate.
     pub store_rate: f64,
-    /// Time of a load at full speed, in milliseconds.
+    /// Duration of a load at full speed, in milliseconds.
     pub load_ms: u64,
-    /// Loads a second that an agent may order by itself.
+    /// Loads per second that an agent may order while no entry grants load permits.
     pub load_rate: f64,
-    /// Order of loads: fifo or urgency.
+    /// Order in which load permits are granted: `fifo` or `urgency`.
     pub load_order: String,
-    /// How far the host list lags, in milliseconds.
+    /// Delay of the platform's host list, in milliseconds.
     pub host_lag_ms: u64,
-    /// Time of a service's call, in milliseconds.
+    /// Processing time of a service's call, in milliseconds.
     pub call_ms: u64,
-    /// Whether a fault proxy stands on the link to each agent.
+    /// Whether the link to each agent goes through a fault proxy.
     pub link_proxies: bool,
-    /// Whether engines check fencing numbers.
+    /// Whether engines refuse orders with an outdated fencing number.
     pub check_fencing: bool,
-    /// Least important log lines.
+    /// Log level of entries and agents.
     pub log_level: String,
 }
 
 impl ClusterPlan {
-    /// A system in one region: `entries` entries and `engines` engines spread over the zones, and
-    /// one replica of the service `desk`.
+    /// Creates a plan for one region: entries and engines are assigned to `zones` in turn, with one
+    /// replica of the service `desk` in the first zone.
     pub fn new(entries: usize, engines: usize, zones: &[&str]) -> Self {
         let site = |index: usize| SitePlan::new("region-1", zones[index % zones.len()]);
         let engine = |index: usize| EnginePlan {
--- a/crates/standin/src/cluster/process.rs
+++ b/crates/standin/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a system on loopback: started, signalled by id, and ended with their owner.
+//! Child processes of a test cluster and the directory of their logs.
 
 use super::TEST_KEY;
 use eyre::{Result, WrapErr, ensure, eyre};
@@ -18,14 +18,15 @@
     time::timeout,
 };
 
-/// Longest wait for a process to stop in order.
-const STOP_LIMIT: Duration = Duration::from_mins(1);
+/// Timeout of a graceful stop.
+const STOP_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A folder for the logs of one system, removed with it unless `PLANTAIN_KEEP_LOGS` is set.
+/// Temporary directory for the logs of a cluster. It is removed on drop unless
+/// `PLANTAIN_KEEP_LOGS` is set.
 pub struct ClusterDirectory(PathBuf);
 
 impl ClusterDirectory {
-    /// Makes a new folder.
+    /// Creates a directory with a random name.
     pub fn new() -> Result<Self> {
         let name = format!("plantain-{}-{:08x}", std::process::id(), rand::random::<u32>());
         let path = env::temp_dir().join(name);
@@ -33,7 +34,7 @@
         Ok(Self(path))
     }
 
-    /// The folder.
+    /// Path of the directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -47,14 +48,15 @@
     }
 }
 
-/// A process that dies with its handle.
+/// A child process that is killed when its handle is dropped.
 pub struct ManagedProcess {
     name: String,
     child: Child,
 }
 
 impl ManagedProcess {
-    /// Starts a program of this workspace; its output goes to a file in the folder.
+    /// Starts a program of this workspace with `TEST_KEY` as its peer key. Its output is appended to
+    /// `<name>.log` in the directory.
     pub fn start(
         directory: &ClusterDirectory,
         name: &str,
@@ -77,47 +79,48 @@
         Ok(Self { name: name.to_owned(), child })
     }
 
-    /// The process id, while it runs.
+    /// Process id, or `None` once the end of the process has been observed.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Whether the process has ended, however.
+    /// Whether the process has ended for any reason.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Sends a signal.
+    /// Sends a signal; fails if the process has ended.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let id = self.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
         kill(Pid::from_raw(id.cast_signed()), signal)
             .wrap_err_with(|| format!("signal {}", self.name))
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process with SIGKILL and waits for its end.
     pub async fn kill(mut self) -> Result<()> {
         self.child.kill().await.wrap_err_with(|| format!("kill {}", self.name))
     }
 
-    /// Asks the process to stop and waits for it; true if it ended with status 0.
+    /// Sends SIGTERM and waits for the process to end; true if its exit status is 0.
     pub async fn stop(mut self) -> Result<bool> {
         if self.id().is_some() {
             self.signal(Signal::SIGTERM)?;
-            // A frozen process takes no other signal.
+            // A process stopped by SIGSTOP handles SIGTERM only after SIGCONT.
             self.signal(Signal::SIGCONT)?;
         }
-        let ended = timeout(STOP_LIMIT, self.child.wait()).await;
+        let ended = timeout(STOP_TIMEOUT, self.child.wait()).await;
         let status = ended.wrap_err_with(|| format!("{} does not stop", self.name))?;
         Ok(status.wrap_err("wait for process")?.success())
     }
 }
 
-/// Path of a program of this workspace, beside the running one.
+/// Path of a program of this workspace, searched in the directory of the running program and in the
+/// one above it.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let own = env::current_exe().wrap_err("find own program")?;
-    let folders = own.ancestors().skip(1).take(2);
-    let found = folders.map(|folder| folder.join(name)).find(|path| path.is_file());
+    let directories = own.ancestors().skip(1).take(2);
+    let found = directories.map(|directory| directory.join(name)).find(|path| path.is_file());
     let found = found.ok_or_else(|| eyre!("{name} is not built; run `cargo build --workspace`"))?;
-    ensure!(found.is_file(), "{} is no file", found.display());
+    ensure!(found.is_file(), "{} is not a file", found.display());
     Ok(found)
 }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,5 @@
-//! A seeded run of faults against a whole system under load, checked against the stand-ins' records.
+//! Fault run: a test cluster under load with seeded faults. The outcomes that callers saw are then
+//! checked against the records of the stand-ins.
 
 pub mod draw;
 pub mod ledger;
@@ -10,7 +11,7 @@
     options::FaultRunArguments,
     service::CallRecord,
 };
-use draw::{FaultDrawer, FaultWindow};
+use draw::{FaultInjector, FaultWindow};
 use eyre::{Result, WrapErr, ensure};
 use ledger::{FaultReport, Ledger};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -26,19 +27,19 @@
     time::sleep,
 };
 
-/// Time without faults at the start and at the end.
+/// Time with load but without faults, before and after the faults.
 const QUIET_TIME: Duration = Duration::from_secs(3);
-/// Engines of the system.
+/// Number of engines.
 const ENGINES: usize = 6;
-/// Replicas of the plain service.
+/// Number of replicas of the plain service.
 const SERVICES: usize = 2;
 /// Availability zones, each with an entry.
 const ZONES: [&str; 3] = ["kandy", "nuwara", "hatton"];
 
-/// The system, shared by traffic (which reads) and faults (which restart processes).
+/// The cluster. Traffic takes the read lock; faults that end or start processes take the write lock.
 pub type SharedCluster = Rc<RwLock<Cluster>>;
 
-/// Runs the faults and checks what callers were told.
+/// Runs load and faults, prints the report, and fails if a guarantee was violated.
 pub async fn run(arguments: FaultRunArguments) -> Result<()> {
     let cluster = start_system().await?;
     let ledger = Arc::new(Mutex::new(Ledger::default()));
@@ -49,10 +50,10 @@
         .run_until(async {
             let mut traffic = traffic::start(&cluster, &ledger, arguments.seed, begin, &stopping);
             sleep(QUIET_TIME).await;
-            traffic::apply_break(&cluster, &arguments).await?;
+            traffic::inject_violation(&cluster, &arguments).await?;
             let seconds = Duration::from_secs(arguments.seconds);
-            let drawer = FaultDrawer::new(Rc::clone(&cluster), arguments.seed, begin);
-            let windows = drawer.run(seconds, arguments.only.as_deref()).await?;
+            let injector = FaultInjector::new(Rc::clone(&cluster), arguments.seed, begin);
+            let windows = injector.run(seconds, arguments.only.as_deref()).await?;
             sleep(QUIET_TIME).await;
             stop.send_replace(true);
             while let Some(ended) = traffic.join_next().await {
@@ -104,7 +105,7 @@
     Ok(Rc::new(RwLock::new(cluster)))
 }
 
-/// Compares the stand-ins' records with what callers were told.
+/// Reads the records of the stand-ins and compares them with the outcomes that callers saw.
 async fn check(
     cluster: &SharedCluster,
     ledger: &Arc<Mutex<Ledger>>,
@@ -128,12 +129,13 @@
     Ok(FaultReport::new(&ledger, &engines, &calls, windows, seed))
 }
 
-/// A generator for one purpose of a seeded run.
-pub fn seeded(seed: u64, purpose: u64) -> StdRng {
+/// Random number generator for one purpose, so that the draws of concurrent tasks do not depend on
+/// each other.
+pub fn seeded_rng(seed: u64, purpose: u64) -> StdRng {
     StdRng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(purpose))
 }
 
-/// A pause drawn evenly between two bounds, in milliseconds.
+/// Draws a uniform pause from `from` (inclusive) to `to` (exclusive), in milliseconds.
 pub fn draw_pause(random: &mut StdRng, from: u64, to: u64) -> Duration {
     Duration::from_millis(random.random_range(from..to))
 }
--- a/crates/standin/src/faults/draw.rs
+++ b/crates/standin/src/faults/draw.rs
@@ -1,6 +1,6 @@
-//! Draws faults by seed, applies them, and takes them back.
+//! Draws faults from a seeded generator, applies them and reverts them.
 
-use super::{ENGINES, SharedCluster, ZONES, draw_pause, seeded};
+use super::{ENGINES, SharedCluster, ZONES, draw_pause, seeded_rng};
 use crate::{
     engine::EngineFaults,
     fault::{DirectionFaults, ProxyFaults},
@@ -13,23 +13,23 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Agents: those of the engines, then those of the services.
+/// Number of agents; those of the engines come first, then those of the services.
 const AGENTS: usize = ENGINES + super::SERVICES;
-/// Share of draws that bring two faults at once.
+/// Probability of two concurrent faults.
 const DOUBLE_SHARE: f64 = 0.25;
 
-/// When a fault was in force, from the start.
+/// Time during which a fault was active, relative to the start of the run.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
-    /// Its kind.
+    /// Name of the fault's kind.
     pub kind: String,
-    /// From.
+    /// When the fault was applied.
     pub from: Duration,
-    /// To.
+    /// When the fault had been reverted.
     pub to: Duration,
 }
 
-/// Kinds of faults.
+/// Faults that can be injected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FaultKind {
     KillEntry,
@@ -53,6 +53,7 @@
 }
 
 impl FaultKind {
+    /// All kinds with their names. The order is part of the seeded draw.
     const ALL: [(Self, &'static str); 18] = [
         (Self::KillEntry, "kill entry"),
         (Self::KillAgent, "kill agent"),
@@ -75,58 +76,61 @@
     ];
 }
 
-/// Draws and applies faults.
-pub struct FaultDrawer {
+/// Draws and injects faults, and records when each one was active.
+pub struct FaultInjector {
     cluster: SharedCluster,
     random: StdRng,
     begin: Instant,
     windows: Vec<FaultWindow>,
 }
 
-impl FaultDrawer {
-    /// Draws by seed.
+impl FaultInjector {
+    /// Creates an injector; `begin` is the start of the run.
     pub fn new(cluster: SharedCluster, seed: u64, begin: Instant) -> Self {
-        Self { cluster, random: seeded(seed, 1), begin, windows: Vec::new() }
+        Self { cluster, random: seeded_rng(seed, 1), begin, windows: Vec::new() }
     }
 
-    /// Runs for a time; `only` limits the kinds by a part of their name.
+    /// Injects faults for `time` and returns their windows. `only` restricts them to kinds whose name
+    /// contains the text.
     pub async fn run(mut self, time: Duration, only: Option<&str>) -> Result<Vec<FaultWindow>> {
         let kinds: Vec<(FaultKind, &str)> = FaultKind::ALL
             .into_iter()
             .filter(|(_, name)| only.is_none_or(|only| name.contains(only)))
             .collect();
         if kinds.is_empty() {
-            bail!("--only: no kind of fault has `{}` in its name", only.unwrap_or(""));
+            bail!("--only: no fault name contains `{}`", only.unwrap_or(""));
         }
         let end = Instant::now() + time;
         while Instant::now() < end {
             let first = kinds[self.random.random_range(0..kinds.len())];
             let second = kinds[self.random.random_range(0..kinds.len())];
             let double = self.random.random_bool(DOUBLE_SHARE) && first.0 != second.0;
-            let hold = draw_pause(&mut self.random, 800, 2_500);
+            let fault_time = draw_pause(&mut self.random, 800, 2_500);
             let (one, other) = (self.draw_target(), self.draw_target());
             let from = self.begin.elapsed();
             self.apply(first.0, one).await?;
             if double {
                 self.apply(second.0, other).await?;
             }
-            sleep(hold).await;
+            sleep(fault_time).await;
             if double {
-                self.take_back(second.0, other).await?;
-                self.close(second.1, from);
+                self.revert(second.0, other).await?;
+                self.record_window(second.1, from);
             }
-            self.take_back(first.0, one).await?;
-            self.close(first.1, from);
+            self.revert(first.0, one).await?;
+            self.record_window(first.1, from);
             sleep(draw_pause(&mut self.random, 1_500, 3_000)).await;
         }
         Ok(self.windows)
     }
 
+    /// Draws a number that selects the faulty process by its remainder modulo their count.
     fn draw_target(&mut self) -> usize {
         self.random.random_range(0..1_000)
     }
 
-    fn close(&mut self, kind: &str, from: Duration) {
+    /// Records the window of a fault that ends now.
+    fn record_window(&mut self, kind: &str, from: Duration) {
         let to = self.begin.elapsed();
         self.windows.push(FaultWindow { kind: kind.to_owned(), from, to });
     }
@@ -135,41 +139,59 @@
         let entry = format!("entry-{}", target % ZONES.len());
         let agent = agent_name(target % AGENTS);
         match kind {
-            FaultKind::KillEntry => self.end(&entry, false).await,
-            FaultKind::KillAgent => self.end(&agent, false).await,
-            FaultKind::StopEntry => self.end(&entry, true).await,
-            FaultKind::StopAgent => self.end(&agent, true).await,
+            FaultKind::KillEntry => self.end_process(&entry, false).await,
+            FaultKind::KillAgent => self.end_process(&agent, false).await,
+            FaultKind::StopEntry => self.end_process(&entry, true).await,
+            FaultKind::StopAgent => self.end_process(&agent, true).await,
             FaultKind::FreezeEntry => self.signal(&entry, Signal::SIGSTOP).await,
             FaultKind::FreezeAgent => self.signal(&agent, Signal::SIGSTOP).await,
             FaultKind::CutLink => {
-                self.link(target % AGENTS, ProxyFaults { cut: true, ..ProxyFaults::default() })
-                    .await
+                self.set_link_faults(
+                    target % AGENTS,
+                    ProxyFaults { cut: true, ..ProxyFaults::default() },
+                )
+                .await
             }
             FaultKind::StallLinkUp => {
                 let up = DirectionFaults { stall: true, ..DirectionFaults::default() };
-                self.link(target % AGENTS, ProxyFaults { up, ..ProxyFaults::default() }).await
+                self.set_link_faults(target % AGENTS, ProxyFaults { up, ..ProxyFaults::default() })
+                    .await
             }
             FaultKind::StallLinkDown => {
                 let down = DirectionFaults { stall: true, ..DirectionFaults::default() };
-                self.link(target % AGENTS, ProxyFaults { down, ..ProxyFaults::default() }).await
+                self.set_link_faults(
+                    target % AGENTS,
+                    ProxyFaults { down, ..ProxyFaults::default() },
+                )
+                .await
             }
             FaultKind::LossyLink => {
-                let way = DirectionFaults { drop: 0.15, delay_ms: 5, ..DirectionFaults::default() };
-                let faults = ProxyFaults { up: way, down: way, ..ProxyFaults::default() };
-                self.link(target % AGENTS, faults).await
+                let lossy =
+                    DirectionFaults { drop: 0.15, delay_ms: 5, ..DirectionFaults::default() };
+                let faults = ProxyFaults { up: lossy, down: lossy, ..ProxyFaults::default() };
+                self.set_link_faults(target % AGENTS, faults).await
             }
             FaultKind::CutZone => {
                 let cut = ProxyFaults { cut: true, ..ProxyFaults::default() };
-                self.zone(target % ZONES.len(), cut).await
+                self.set_zone_faults(target % ZONES.len(), cut).await
             }
             FaultKind::PlatformDown => {
-                self.platform(PlatformFaults { down: true, ..PlatformFaults::default() }).await
+                self.set_platform_faults(PlatformFaults { down: true, ..PlatformFaults::default() })
+                    .await
             }
             FaultKind::PlatformSlow => {
-                self.platform(PlatformFaults { delay_ms: 700, ..PlatformFaults::default() }).await
+                self.set_platform_faults(PlatformFaults {
+                    delay_ms: 700,
+                    ..PlatformFaults::default()
+                })
+                .await
             }
             FaultKind::PlatformLosesAnswers => {
-                self.platform(PlatformFaults { lose_answers: 5, ..PlatformFaults::default() }).await
+                self.set_platform_faults(PlatformFaults {
+                    lose_answers: 5,
+                    ..PlatformFaults::default()
+                })
+                .await
             }
             FaultKind::EngineRestart => {
                 let cluster = self.cluster.read().await;
@@ -178,20 +200,20 @@
             }
             FaultKind::LoadsFail => {
                 let faults = EngineFaults { fail_loads: 1_000, ..EngineFaults::default() };
-                self.engine(target % ENGINES, faults).await
+                self.set_engine_faults(target % ENGINES, faults).await
             }
             FaultKind::AnswersCut => {
                 let faults = EngineFaults { cut_answers: 5, ..EngineFaults::default() };
-                self.engine(target % ENGINES, faults).await
+                self.set_engine_faults(target % ENGINES, faults).await
             }
             FaultKind::AnswersForeign => {
                 let faults = EngineFaults { wrong_model: 5, ..EngineFaults::default() };
-                self.engine(target % ENGINES, faults).await
+                self.set_engine_faults(target % ENGINES, faults).await
             }
         }
     }
 
-    async fn take_back(&self, kind: FaultKind, target: usize) -> Result<()> {
+    async fn revert(&self, kind: FaultKind, target: usize) -> Result<()> {
         let entry = target % ZONES.len();
         let agent = target % AGENTS;
         match kind {
@@ -217,57 +239,58 @@
             FaultKind::CutLink
             | FaultKind::StallLinkUp
             | FaultKind::StallLinkDown
-            | FaultKind::LossyLink => self.link(agent, ProxyFaults::default()).await,
-            FaultKind::CutZone => self.zone(entry, ProxyFaults::default()).await,
+            | FaultKind::LossyLink => self.set_link_faults(agent, ProxyFaults::default()).await,
+            FaultKind::CutZone => self.set_zone_faults(entry, ProxyFaults::default()).await,
             FaultKind::PlatformDown | FaultKind::PlatformSlow | FaultKind::PlatformLosesAnswers => {
-                self.platform(PlatformFaults::default()).await
+                self.set_platform_faults(PlatformFaults::default()).await
             }
             FaultKind::EngineRestart => Ok(()),
             FaultKind::LoadsFail | FaultKind::AnswersCut | FaultKind::AnswersForeign => {
-                self.engine(target % ENGINES, EngineFaults::default()).await
+                self.set_engine_faults(target % ENGINES, EngineFaults::default()).await
             }
         }
     }
 
-    /// Ends a process, unless another fault already has.
-    async fn end(&self, name: &str, in_order: bool) -> Result<()> {
+    /// Stops a process gracefully or kills it, unless a concurrent fault has ended it already.
+    async fn end_process(&self, name: &str, graceful: bool) -> Result<()> {
         let mut cluster = self.cluster.write().await;
         if !cluster.has(name) {
             return Ok(());
         }
-        if !in_order {
+        if !graceful {
             return cluster.kill(name).await;
         }
-        ensure!(cluster.stop(name).await?, "{name} did not stop in order");
+        ensure!(cluster.stop(name).await?, "{name} did not stop with exit status 0");
         Ok(())
     }
 
-    // A process that another fault has already taken away gets no signal.
+    /// Signals a process; does nothing if a concurrent fault has ended it.
     async fn signal(&self, name: &str, signal: Signal) -> Result<()> {
         let _ = self.cluster.read().await.signal(name, signal);
         Ok(())
     }
 
-    async fn link(&self, agent: usize, faults: ProxyFaults) -> Result<()> {
+    async fn set_link_faults(&self, agent: usize, faults: ProxyFaults) -> Result<()> {
         let cluster = self.cluster.read().await;
         cluster.set(cluster.link_control(agent), "/standin/faults", &faults).await
     }
 
-    async fn zone(&self, zone: usize, faults: ProxyFaults) -> Result<()> {
+    /// Sets faults on the links to all engines' agents of a zone.
+    async fn set_zone_faults(&self, zone: usize, faults: ProxyFaults) -> Result<()> {
         for agent in 0..ENGINES {
             if agent % ZONES.len() == zone {
-                self.link(agent, faults).await?;
+                self.set_link_faults(agent, faults).await?;
             }
         }
         Ok(())
     }
 
-    async fn platform(&self, faults: PlatformFaults) -> Result<()> {
+    async fn set_platform_faults(&self, faults: PlatformFaults) -> Result<()> {
         let cluster = self.cluster.read().await;
         cluster.set(cluster.platform(), "/standin/faults", &faults).await
     }
 
-    async fn engine(&self, engine: usize, faults: EngineFaults) -> Result<()> {
+    async fn set_engine_faults(&self, engine: usize, faults: EngineFaults) -> Result<()> {
         let cluster = self.cluster.read().await;
         cluster.set(cluster.engine(engine), "/standin/faults", &faults).await
     }
--- a/crates/standin/src/faults/ledger.rs
+++ b/crates/standin/src/faults/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers were told, and how it compares with what was executed.
+//! Outcomes that callers saw, and their comparison with what was executed.
 
 use super::draw::FaultWindow;
 use crate::{engine::EngineRecords, service::CallRecord};
@@ -8,106 +8,106 @@
     time::Duration,
 };
 
-/// Characters of what a caller was told that are kept.
+/// Longest error detail in the report, in characters.
 const DETAIL_LENGTH: usize = 160;
 
-/// What a caller was told of one attempt.
+/// Outcome of one attempt as its caller saw it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Told {
-    /// A whole and right answer.
+pub enum CallOutcome {
+    /// A complete answer with the expected content.
     Answered,
-    /// It was not run.
+    /// An error which states that the call was not run, or no connection was made.
     NotRun,
-    /// It may have run, or the connection broke.
+    /// Unknown outcome: it may have run.
     Unknown,
 }
 
-/// One attempt of a completion.
+/// Record of one chat completion.
 #[derive(Clone, Debug)]
 pub struct ChatRecord {
-    /// Request id.
+    /// Value of the `x-request-id` header.
     pub id: String,
-    /// When it was asked, from the start.
+    /// When it was sent, relative to the start of the run.
     pub asked: Duration,
-    /// When it ended, from the start.
+    /// When it ended, relative to the start of the run.
     pub ended: Duration,
-    /// What the caller was told.
-    pub told: Told,
-    /// Why the answer is wrong, if it is.
+    /// Outcome that the caller saw.
+    pub outcome: CallOutcome,
+    /// Why the answer failed the check; absent if it passed or there was no answer.
     pub wrong: Option<String>,
-    /// What was told, for the log.
+    /// Error text for the report; empty for an answer.
     pub detail: String,
 }
 
-/// One attempt of a stamp.
+/// Record of one attempt of a stamp, a service call that must not run twice.
 #[derive(Clone, Debug)]
 pub struct StampRecord {
-    /// Its key.
+    /// Idempotency key; all attempts of a stamp share it.
     pub key: String,
-    /// What the caller was told.
-    pub told: Told,
+    /// Outcome that the caller saw.
+    pub outcome: CallOutcome,
 }
 
-/// All that callers were told.
+/// Everything that callers, operators and observers recorded during a run.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Completions.
+    /// Chat completions, in the order in which they ended.
     pub chats: Vec<ChatRecord>,
-    /// Stamps.
+    /// Attempts of stamps, in the order in which they ended.
     pub stamps: Vec<StampRecord>,
-    /// Ready processes that went back to an older configuration.
+    /// One line for each ready entry that reverted to an older configuration.
     pub reversions: Vec<String>,
-    /// Changes of the configuration that were accepted.
+    /// Configuration changes that were accepted.
     pub changes: u64,
 }
 
-/// Availability during one kind of fault.
+/// Availability of completions during one kind of fault.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Availability {
-    /// Completions asked for.
+    /// Completions sent.
     pub asked: u64,
-    /// Completions answered whole.
+    /// Completions with a complete and correct answer.
     pub answered: u64,
 }
 
-/// The outcome of a run.
+/// Report of a run; its fields are the keys of the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultReport {
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Completions asked for.
+    /// Completions sent.
     pub requests: usize,
-    /// Completions answered whole.
+    /// Completions with a complete and correct answer.
     pub answers_whole: usize,
-    /// Stamps asked for, retries included.
+    /// Attempts of stamps, retries included.
     pub stamps: usize,
-    /// Stamps executed.
+    /// Executions of stamps at the service.
     pub stamps_executed: usize,
-    /// Changes of the configuration accepted.
+    /// Configuration changes that were accepted.
     pub changes: u64,
-    /// Answers of another adapter or version, or with other content.
+    /// Answers of another adapter or version, or with wrong content.
     pub wrong_adapter: usize,
     /// Adapters evicted while in use.
     pub evicted_in_use: u64,
-    /// Attempts told not run that ran.
+    /// Completions and stamps that were reported as not run but ran.
     pub not_run_but_ran: usize,
-    /// Keys executed more than once.
+    /// Stamps executed more than once.
     pub executed_twice: usize,
-    /// Processes that went back to an older configuration.
+    /// Reversions of ready entries to an older configuration.
     pub reversions: usize,
-    /// Answers cut by a planned stop.
+    /// Completions without an answer during a planned stop and no other fault.
     pub cut_by_planned_stop: usize,
-    /// Availability of completions by kind of fault.
+    /// Availability of completions by active fault.
     pub availability: BTreeMap<String, Availability>,
-    /// Completions without an answer, by the fault in force and what the caller was told.
+    /// Number of completions without an answer, by active fault, previous fault and error.
     pub failures: BTreeMap<String, u64>,
-    /// One line each.
+    /// Violated guarantees, one line each.
     pub violations: Vec<String>,
 }
 
 impl FaultReport {
-    /// Compares.
+    /// Checks the recorded outcomes against the records of engines and services.
     pub fn new(
         ledger: &Ledger,
         engines: &[EngineRecords],
@@ -116,22 +116,23 @@
         seed: u64,
     ) -> Self {
         let mut violations = Vec::new();
-        let wrong = wrong_answers(ledger, &mut violations);
-        let ran = told_not_run(ledger, engines, calls, &mut violations);
+        let wrong = check_answers(ledger, &mut violations);
+        let ran = check_not_run(ledger, engines, calls, &mut violations);
         let twice = executed_twice(calls, &mut violations);
-        let cut = cut_by_stops(ledger, windows, &mut violations);
+        let cut = check_planned_stops(ledger, windows, &mut violations);
         let evicted: u64 = engines.iter().map(|records| records.evicted_in_use).sum();
         if evicted > 0 {
             violations.push(format!("evicted in use: {evicted}"));
         }
         violations.extend(ledger.reversions.iter().cloned());
-        let whole = ledger.chats.iter().filter(|chat| chat.told == Told::Answered).count();
+        let whole =
+            ledger.chats.iter().filter(|chat| chat.outcome == CallOutcome::Answered).count();
         Self {
             seed,
             requests: ledger.chats.len(),
             answers_whole: whole,
             stamps: ledger.stamps.len(),
-            stamps_executed: stamped(calls).count(),
+            stamps_executed: stamp_calls(calls).count(),
             changes: ledger.changes,
             wrong_adapter: wrong,
             evicted_in_use: evicted,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Prints the outcome.
+    /// Prints the report to standard output.
     pub fn print(&self) {
         println!(
             "seed {}: {} completions, {} whole; {} stamps asked, {} executed; {} changes",
@@ -179,7 +180,8 @@
     }
 }
 
-fn wrong_answers(ledger: &Ledger, violations: &mut Vec<String>) -> usize {
+/// Counts answers that failed the check of adapter, version and content.
+fn check_answers(ledger: &Ledger, violations: &mut Vec<String>) -> usize {
     let wrong = ledger.chats.iter().filter_map(|chat| Some((chat, chat.wrong.as_ref()?)));
     let lines: Vec<String> =
         wrong.map(|(chat, problem)| format!("wrong answer to {}: {problem}", chat.id)).collect();
@@ -187,11 +189,14 @@
     lines.len()
 }
 
-fn stamped(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
+/// Executed stamps among all calls of the service.
+fn stamp_calls(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
     calls.iter().filter(|call| call.method == "POST")
 }
 
-fn told_not_run(
+/// Counts completions and stamps that ran although their callers were told otherwise. A stamp counts
+/// only if all its attempts were reported as not run.
+fn check_not_run(
     ledger: &Ledger,
     engines: &[EngineRecords],
     calls: &[CallRecord],
@@ -202,24 +207,29 @@
     let mut lines: Vec<String> = ledger
         .chats
         .iter()
-        .filter(|chat| chat.told == Told::NotRun && executed.contains(chat.id.as_str()))
-        .map(|chat| format!("completion {} was told not run, but ran: {}", chat.id, chat.detail))
+        .filter(|chat| chat.outcome == CallOutcome::NotRun && executed.contains(chat.id.as_str()))
+        .map(|chat| {
+            format!("completion {} was reported as not run, but ran: {}", chat.id, chat.detail)
+        })
         .collect();
-    let keys: HashSet<&str> = stamped(calls).filter_map(|call| call.key.as_deref()).collect();
-    let mut told: HashMap<&str, Vec<Told>> = HashMap::new();
+    let keys: HashSet<&str> = stamp_calls(calls).filter_map(|call| call.key.as_deref()).collect();
+    let mut outcomes: HashMap<&str, Vec<CallOutcome>> = HashMap::new();
     for stamp in &ledger.stamps {
-        told.entry(&stamp.key).or_default().push(stamp.told);
+        outcomes.entry(&stamp.key).or_default().push(stamp.outcome);
     }
-    let never = told.iter().filter(|(_, all)| all.iter().all(|told| *told == Told::NotRun));
+    let never = outcomes
+        .iter()
+        .filter(|(_, all)| all.iter().all(|outcome| *outcome == CallOutcome::NotRun));
     let ran = never.filter(|(key, _)| keys.contains(**key));
-    lines.extend(ran.map(|(key, _)| format!("stamp {key} was told not run, but ran")));
+    lines.extend(ran.map(|(key, _)| format!("stamp {key} was reported as not run, but ran")));
     violations.extend(lines.iter().cloned());
     lines.len()
 }
 
+/// Counts idempotency keys that were executed more than once.
 fn executed_twice(calls: &[CallRecord], violations: &mut Vec<String>) -> usize {
     let mut counts: HashMap<&str, u32> = HashMap::new();
-    for key in stamped(calls).filter_map(|call| call.key.as_deref()) {
+    for key in stamp_calls(calls).filter_map(|call| call.key.as_deref()) {
         *counts.entry(key).or_default() += 1;
     }
     let twice: Vec<String> = counts
@@ -231,8 +241,13 @@
     twice.len()
 }
 
-/// Completions that ended without an answer while nothing but a planned stop was going on.
-fn cut_by_stops(ledger: &Ledger, windows: &[FaultWindow], violations: &mut Vec<String>) -> usize {
+/// Counts completions with an unknown outcome that were sent and ended during a planned stop, while
+/// no other kind of fault was active.
+fn check_planned_stops(
+    ledger: &Ledger,
+    windows: &[FaultWindow],
+    violations: &mut Vec<String>,
+) -> usize {
     let is_stop = |window: &&FaultWindow| window.kind.starts_with("stop ");
     let alone = |stop: &&FaultWindow| {
         !windows.iter().any(|other| {
@@ -242,7 +257,7 @@
     let mut lines = Vec::new();
     for stop in windows.iter().filter(is_stop).filter(alone) {
         let cut = ledger.chats.iter().filter(|chat| {
-            chat.told == Told::Unknown && chat.asked >= stop.from && chat.ended <= stop.to
+            chat.outcome == CallOutcome::Unknown && chat.asked >= stop.from && chat.ended <= stop.to
         });
         lines.extend(cut.map(|chat| format!("{} cut {}: {}", stop.kind, chat.id, chat.detail)));
     }
@@ -253,15 +268,15 @@
 fn availability(ledger: &Ledger, windows: &[FaultWindow]) -> BTreeMap<String, Availability> {
     let mut kinds: BTreeMap<String, Availability> = BTreeMap::new();
     for chat in &ledger.chats {
-        let entry = kinds.entry(fault_of(chat, windows).to_owned()).or_default();
+        let entry = kinds.entry(active_fault(chat, windows).to_owned()).or_default();
         entry.asked += 1;
-        entry.answered += u64::from(chat.told == Told::Answered);
+        entry.answered += u64::from(chat.outcome == CallOutcome::Answered);
     }
     kinds
 }
 
-/// The fault that was in force when a completion was asked for.
-fn fault_of<'a>(chat: &ChatRecord, windows: &'a [FaultWindow]) -> &'a str {
+/// Name of the fault that was active when a completion was sent.
+fn active_fault<'a>(chat: &ChatRecord, windows: &'a [FaultWindow]) -> &'a str {
     let mut active = windows.iter().filter(|w| chat.asked >= w.from && chat.asked < w.to);
     match (active.next(), active.next()) {
         (None, _) => "none",
@@ -270,13 +285,14 @@
     }
 }
 
+/// Counts completions without an answer by active fault, last fault that ended before, and error.
 fn failures(ledger: &Ledger, windows: &[FaultWindow]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for chat in ledger.chats.iter().filter(|chat| chat.told != Told::Answered) {
+    for chat in ledger.chats.iter().filter(|chat| chat.outcome != CallOutcome::Answered) {
         let last = windows.iter().rfind(|window| window.to <= chat.asked);
         let after = last.map_or("nothing", |window| &window.kind);
-        let told: String = chat.detail.chars().take(DETAIL_LENGTH).collect();
-        let line = format!("{} (after {after}): {told}", fault_of(chat, windows));
+        let detail: String = chat.detail.chars().take(DETAIL_LENGTH).collect();
+        let line = format!("{} (after {after}): {detail}", active_fault(chat, windows));
         *counts.entry(line).or_default() += 1;
     }
     counts
--- a/crates/standin/src/faults/traffic.rs
+++ b/crates/standin/src/faults/traffic.rs
@@ -1,9 +1,10 @@
-//! Callers, operators and observers of a fault run.
+//! Load of a fault run: callers, an operator that changes the configuration, and an observer of the
+//! entries.
 
 use super::{
     SharedCluster, draw_pause,
-    ledger::{ChatRecord, Ledger, StampRecord, Told},
-    seeded,
+    ledger::{CallOutcome, ChatRecord, Ledger, StampRecord},
+    seeded_rng,
 };
 use crate::{
     call::ChatCall, engine::EngineFaults, options::FaultRunArguments, service::ServiceFaults,
@@ -26,24 +27,24 @@
 };
 use tokio::{sync::watch, task::JoinSet, time::sleep};
 
-/// Adapters of the run.
+/// Number of adapters.
 pub const ADAPTERS: usize = 30;
-/// Callers of completions.
+/// Number of callers that send chat completions.
 const CHAT_CALLERS: u64 = 12;
-/// Callers of stamps.
+/// Number of callers that send stamps.
 const STAMP_CALLERS: u64 = 6;
-/// Attempts of one stamp.
+/// Most attempts of one stamp.
 const STAMP_ATTEMPTS: usize = 4;
-/// Longest wait of a caller.
-const CALL_LIMIT: Duration = Duration::from_secs(15);
-/// Pause between looks at the processes' configuration.
-const OBSERVE_PAUSE: Duration = Duration::from_millis(150);
+/// Timeout of a caller's request.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Pause between two polls of the entries' status, and timeout of a poll.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Whether the next answered completion is to be written down as not run, to show that the check of
-/// this promise bites.
-static LIE: AtomicBool = AtomicBool::new(false);
+/// Whether the next answered completion is recorded as not run, to test that the run detects the
+/// violation (`--break not-run`).
+static FALSIFY_NEXT_OUTCOME: AtomicBool = AtomicBool::new(false);
 
-/// What all of them share.
+/// State shared by all tasks of the load.
 #[derive(Clone)]
 struct TrafficContext {
     entries: Vec<SocketAddr>,
@@ -60,20 +61,21 @@
         *self.stopping.borrow()
     }
 
-    /// An entry that the balancer would choose: one that was ready when it last looked.
-    fn choose(&self, random: &mut StdRng) -> SocketAddr {
+    /// Picks a random entry among those that were ready at the last poll, as a load balancer does; if
+    /// none was, among all.
+    fn pick_entry(&self, random: &mut StdRng) -> SocketAddr {
         let ready = self.ready.lock().expect("no panic while locked").clone();
         let open: Vec<usize> = (0..self.entries.len()).filter(|&index| ready[index]).collect();
         let open = if open.is_empty() { (0..self.entries.len()).collect() } else { open };
         self.entries[open[random.random_range(0..open.len())]]
     }
 
-    fn note(&self, change: impl FnOnce(&mut Ledger)) {
+    fn update_ledger(&self, change: impl FnOnce(&mut Ledger)) {
         change(&mut self.ledger.lock().expect("no panic while locked"));
     }
 }
 
-/// Starts all traffic.
+/// Starts all tasks of the load; they end after `stopping` is set.
 pub fn start(
     cluster: &SharedCluster,
     ledger: &Arc<Mutex<Ledger>>,
@@ -81,7 +83,7 @@
     begin: Instant,
     stopping: &watch::Receiver<bool>,
 ) -> JoinSet<Result<()>> {
-    let guard = cluster.try_read().expect("nobody writes yet");
+    let guard = cluster.try_read().expect("no fault holds the write lock yet");
     let context = TrafficContext {
         entries: (0..3).map(|index| guard.entry(index)).collect(),
         admins: (0..3).map(|index| guard.entry_admin(index)).collect(),
@@ -94,18 +96,18 @@
     drop(guard);
     let mut tasks = JoinSet::new();
     for caller in 0..CHAT_CALLERS {
-        tasks.spawn_local(ask_completions(context.clone(), seed, caller));
+        tasks.spawn_local(send_completions(context.clone(), seed, caller));
     }
     for caller in 0..STAMP_CALLERS {
-        tasks.spawn_local(ask_stamps(context.clone(), seed, caller));
+        tasks.spawn_local(send_stamps(context.clone(), seed, caller));
     }
     tasks.spawn_local(change_configuration(context.clone(), Rc::clone(cluster), seed));
     tasks.spawn_local(observe_revisions(context));
     tasks
 }
 
-async fn ask_completions(context: TrafficContext, seed: u64, caller: u64) -> Result<()> {
-    let mut random = seeded(seed, 100 + caller);
+async fn send_completions(context: TrafficContext, seed: u64, caller: u64) -> Result<()> {
+    let mut random = seeded_rng(seed, 100 + caller);
     let mut round = 0;
     while !context.is_stopping() {
         let model = format!(
@@ -120,15 +122,15 @@
                 .with_header("x-request-id", &id)
                 .with_header("x-plantain-deadline-ms", "8000");
         call.streamed = random.random_bool(0.6);
-        let entry = context.choose(&mut random);
-        let record = ask_completion(&context, &call, &model, id, entry).await;
-        context.note(|ledger| ledger.chats.push(record));
+        let entry = context.pick_entry(&mut random);
+        let record = send_completion(&context, &call, &model, id, entry).await;
+        context.update_ledger(|ledger| ledger.chats.push(record));
         sleep(draw_pause(&mut random, 50, 400)).await;
     }
     Ok(())
 }
 
-async fn ask_completion(
+async fn send_completion(
     context: &TrafficContext,
     call: &ChatCall,
     model: &str,
@@ -140,28 +142,30 @@
         id,
         asked,
         ended: asked,
-        told: Told::Unknown,
+        outcome: CallOutcome::Unknown,
         wrong: None,
         detail: String::new(),
     };
-    match tokio::time::timeout(CALL_LIMIT, call.send(&context.http, entry)).await {
+    match tokio::time::timeout(CALL_TIMEOUT, call.send(&context.http, entry)).await {
         Ok(Ok(answer)) if answer.status == StatusCode::OK && answer.broken.is_none() => {
             match call.check(&answer, model) {
-                Ok(()) if LIE.swap(false, Ordering::AcqRel) => record.told = Told::NotRun,
-                Ok(()) => record.told = Told::Answered,
+                Ok(()) if FALSIFY_NEXT_OUTCOME.swap(false, Ordering::AcqRel) => {
+                    record.outcome = CallOutcome::NotRun;
+                }
+                Ok(()) => record.outcome = CallOutcome::Answered,
                 Err(error) => record.wrong = Some(format!("{error:#}")),
             }
         }
         Ok(Ok(answer)) => {
             let error = answer.error();
             if error["outcome"] == "not_run" {
-                record.told = Told::NotRun;
+                record.outcome = CallOutcome::NotRun;
             }
             record.detail = format!("{} {error} {:?}", answer.status, answer.broken);
         }
         Ok(Err(error)) => {
             if is_unsent(&error) {
-                record.told = Told::NotRun;
+                record.outcome = CallOutcome::NotRun;
             }
             record.detail = format!("{error:#}");
         }
@@ -171,23 +175,26 @@
     record
 }
 
-/// No connection came about; a balancer would have gone elsewhere.
+/// Whether no connection was made, so that the request was not sent; a load balancer would try
+/// another entry.
 fn is_unsent(error: &eyre::Report) -> bool {
     error.downcast_ref::<SendError>().is_some_and(|error| error.unsent)
 }
 
-async fn ask_stamps(context: TrafficContext, seed: u64, caller: u64) -> Result<()> {
-    let mut random = seeded(seed, 200 + caller);
+async fn send_stamps(context: TrafficContext, seed: u64, caller: u64) -> Result<()> {
+    let mut random = seeded_rng(seed, 200 + caller);
     let mut round = 0;
     while !context.is_stopping() {
         let key = format!("stamp-{caller}-{round}");
         round += 1;
-        // An impatient caller: whatever it is told, it asks again, often elsewhere.
+        // The caller retries after any outcome, sometimes even after an answer, often at another entry.
         for _ in 0..STAMP_ATTEMPTS {
-            let entry = context.choose(&mut random);
-            let told = ask_stamp(&context, &key, entry).await;
-            context.note(|ledger| ledger.stamps.push(StampRecord { key: key.clone(), told }));
-            if told == Told::Answered && random.random_bool(0.7) {
+            let entry = context.pick_entry(&mut random);
+            let outcome = send_stamp(&context, &key, entry).await;
+            context.update_ledger(|ledger| {
+                ledger.stamps.push(StampRecord { key: key.clone(), outcome });
+            });
+            if outcome == CallOutcome::Answered && random.random_bool(0.7) {
                 break;
             }
             sleep(draw_pause(&mut random, 10, 300)).await;
@@ -197,7 +204,7 @@
     Ok(())
 }
 
-async fn ask_stamp(context: &TrafficContext, key: &str, entry: SocketAddr) -> Told {
+async fn send_stamp(context: &TrafficContext, key: &str, entry: SocketAddr) -> CallOutcome {
     let request = Request::builder()
         .method(Method::POST)
         .uri(url(entry, "/services/desk/stamps"))
@@ -205,14 +212,18 @@
         .header("x-plantain-deadline-ms", "5000")
         .body(Full::new(Bytes::from_static(b"gate 7")))
         .expect("a good request");
-    match context.http.fetch(request, CALL_LIMIT).await {
-        Ok(answer) if answer.status == StatusCode::OK => Told::Answered,
+    match context.http.fetch(request, CALL_TIMEOUT).await {
+        Ok(answer) if answer.status == StatusCode::OK => CallOutcome::Answered,
         Ok(answer) => {
             let error: Value = answer.json().unwrap_or_default();
-            if error["error"]["outcome"] == "not_run" { Told::NotRun } else { Told::Unknown }
+            if error["error"]["outcome"] == "not_run" {
+                CallOutcome::NotRun
+            } else {
+                CallOutcome::Unknown
+            }
         }
-        Err(error) if is_unsent(&error) => Told::NotRun,
-        Err(_) => Told::Unknown,
+        Err(error) if is_unsent(&error) => CallOutcome::NotRun,
+        Err(_) => CallOutcome::Unknown,
     }
 }
 
@@ -221,43 +232,47 @@
     cluster: SharedCluster,
     seed: u64,
 ) -> Result<()> {
-    let mut random = seeded(seed, 300);
+    let mut random = seeded_rng(seed, 300);
     while !context.is_stopping() {
         sleep(draw_pause(&mut random, 500, 2_500)).await;
         let version = random.random_range(1..=3_u32).to_string();
         let arguments = ["adapter", "roll-out", "house-0000", &version];
         let output = cluster.read().await.control(&arguments).await?;
         if output.status.success() {
-            context.note(|ledger| ledger.changes += 1);
+            context.update_ledger(|ledger| ledger.changes += 1);
         }
     }
     Ok(())
 }
 
-/// A ready process never shows an older revision than any ready process at its place before.
+/// Polls the entries' readiness and records a reversion when a ready entry reports an older revision
+/// than it, or its predecessor before a restart, reported earlier.
 async fn observe_revisions(context: TrafficContext) -> Result<()> {
     let mut highest = vec![0; context.admins.len()];
     while !context.is_stopping() {
         for (index, admin) in context.admins.iter().enumerate() {
             let page = url(*admin, "/status");
-            let status = context.http.get_json::<Value>(&page, OBSERVE_PAUSE).await;
+            let status = context.http.get_json::<Value>(&page, POLL_INTERVAL).await;
             let is_ready = status.as_ref().is_ok_and(|status| status["ready"] == true);
             context.ready.lock().expect("no panic while locked")[index] = is_ready;
             let Ok(status) = status else { continue };
             let revision = status["revision"].as_u64().unwrap_or(0);
             if status["ready"] == true && revision < highest[index] {
                 let line = format!("entry-{index} went back from {} to {revision}", highest[index]);
-                context.note(|ledger| ledger.reversions.push(line));
+                context.update_ledger(|ledger| ledger.reversions.push(line));
             }
             highest[index] = highest[index].max(revision);
         }
-        sleep(OBSERVE_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Breaks one promise on purpose in the stand-ins, to show that the run reports it.
-pub async fn apply_break(cluster: &SharedCluster, arguments: &FaultRunArguments) -> Result<()> {
+/// Violates the guarantee named by `--break`, to test that the run detects it.
+pub async fn inject_violation(
+    cluster: &SharedCluster,
+    arguments: &FaultRunArguments,
+) -> Result<()> {
     let Some(promise) = &arguments.break_promise else { return Ok(()) };
     let cluster = cluster.read().await;
     let mut engine = EngineFaults::default();
@@ -265,8 +280,8 @@
     match promise.as_str() {
         "answer" => engine.wrong_content = 1,
         "eviction" => engine.drop_in_use = 1,
-        // The caller's own record lies; see `ask_completion`.
-        "not-run" => LIE.store(true, Ordering::Release),
+        // Falsifies the caller's record; see `send_completion`.
+        "not-run" => FALSIFY_NEXT_OUTCOME.store(true, Ordering::Release),
         "once" => service.execute_twice = 1,
         other => bail!("--break: `{other}` is not answer, eviction, not-run or once"),
     }
--- a/crates/standin/src/options.rs
+++ b/crates/standin/src/options.rs
@@ -1,4 +1,4 @@
-//! Arguments of the stand-ins and tools.
+//! Command-line arguments of the stand-ins and tools.
 
 use crate::{
     engine::{EngineOptions, batch::BatchTimes},
@@ -11,68 +11,68 @@
 use eyre::{Result, bail};
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
-/// Width of help texts.
+/// Line width of help texts, in characters.
 const HELP_WIDTH: usize = 100;
 
 /// Stand-ins for the systems around plantainroute, and tools that use them.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, generate(standin_command))]
 pub enum StandinCommand {
-    /// The platform: versioned objects, watches and the host list
+    /// Runs a stand-in for the platform: versioned objects, watches and the host list
     #[bpaf(command("platform"))]
     Platform(#[bpaf(external(platform_arguments))] PlatformArguments),
-    /// A model engine
+    /// Runs a stand-in for an inference engine
     #[bpaf(command("engine"))]
     Engine(#[bpaf(external(engine_arguments))] EngineArguments),
-    /// The weight store
+    /// Runs a stand-in for the weight store
     #[bpaf(command("weights"))]
     Weights(#[bpaf(external(weight_arguments))] WeightArguments),
-    /// A plain service
+    /// Runs a stand-in for a plain service
     #[bpaf(command("service"))]
     Service(#[bpaf(external(service_arguments))] ServiceArguments),
-    /// A proxy that injects faults
+    /// Runs a proxy that injects network faults
     #[bpaf(command("fault"))]
     Fault(#[bpaf(external(fault_arguments))] FaultArguments),
-    /// Starts a small complete system on loopback and sends requests through it
+    /// Starts a small test cluster on loopback and sends requests through it
     #[bpaf(command("demo"))]
     Demo(#[bpaf(external(demo_arguments))] DemoArguments),
-    /// Measures the time that entry and agent add to a call of the engine
+    /// Measures the latency that entry and agent add to an engine call
     #[bpaf(command("overhead"))]
     Overhead(#[bpaf(external(overhead_arguments))] OverheadArguments),
-    /// Runs a whole system under load and seeded faults, and checks what callers were told
+    /// Runs a test cluster under load with seeded faults and checks the guarantees to callers
     #[bpaf(command("faults"))]
     Faults(#[bpaf(external(fault_run_arguments))] FaultRunArguments),
     /// Compares routing policies under a workload
     #[bpaf(command("bench"))]
     Bench(#[bpaf(external(bench_arguments))] BenchArguments),
-    /// Draws files that bench wrote
+    /// Plots result files of bench as an SVG
     #[bpaf(command("plot"))]
     Plot(#[bpaf(external(plot_arguments))] PlotArguments),
-    /// Measures what control costs as adapters and connections grow
+    /// Measures control-plane cost at growing numbers of adapters and connections
     #[bpaf(command("scale"))]
     Scale(#[bpaf(external(scale_arguments))] ScaleArguments),
 }
 
-/// Arguments of the platform.
+/// Arguments of the platform stand-in.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(platform_arguments))]
 pub struct PlatformArguments {
-    /// Where it listens
+    /// Listen address
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Writes a second (default: 400)
+    /// Limit of writes per second (default: 400)
     #[bpaf(long("writes-per-second"), argument("COUNT"), fallback(400))]
     writes_per_second: u32,
-    /// Reads a second (default: 2000)
+    /// Limit of reads per second, watches included (default: 2000)
     #[bpaf(long("reads-per-second"), argument("COUNT"), fallback(2_000))]
     reads_per_second: u32,
-    /// How far the host list lags, in milliseconds (default: 3000)
+    /// Delay of changes to the host list, in milliseconds (default: 3000)
     #[bpaf(long("host-lag-ms"), argument("MS"), fallback(3_000))]
     host_lag_ms: u64,
 }
 
 impl PlatformArguments {
-    /// The stand-in's options.
+    /// Converts the arguments into options of the stand-in.
     pub fn into_options(self) -> PlatformOptions {
         PlatformOptions {
             listen: self.listen,
@@ -83,20 +83,20 @@
     }
 }
 
-/// Arguments of an engine.
+/// Arguments of the engine stand-in.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(engine_arguments))]
 pub struct EngineArguments {
-    /// Where it listens
+    /// Listen address
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Adapters held at once (default: 8)
+    /// Adapter slots (default: 8)
     #[bpaf(long, argument("COUNT"), fallback(8))]
     slots: usize,
-    /// Sequences run at once (default: 16)
+    /// Largest batch, in sequences (default: 16)
     #[bpaf(long("batch-limit"), argument("COUNT"), fallback(16))]
     batch_limit: usize,
-    /// Time of a step in microseconds (default: 4000)
+    /// Base time of a batch step, in microseconds (default: 4000)
     #[bpaf(long("step-us"), argument("US"), fallback(4_000))]
     step_us: u64,
     /// Time added to a step by each sequence, in microseconds (default: 100)
@@ -108,19 +108,19 @@
     /// Time added to a step by each prompt token to prefill, in microseconds (default: 10)
     #[bpaf(long("prompt-us"), argument("US"), fallback(10))]
     prompt_us: u64,
-    /// Prompt prefixes kept (default: 32)
+    /// Capacity of the prefix cache, in prompt prefixes (default: 32)
     #[bpaf(long("prefix-cache"), argument("COUNT"), fallback(32))]
     prefix_cache: usize,
-    /// How far the load report lags, in milliseconds (default: 200)
+    /// Interval at which /metrics is refreshed, in milliseconds (default: 200)
     #[bpaf(long("report-lag-ms"), argument("MS"), fallback(200))]
     report_lag_ms: u64,
-    /// Refuses orders with an old fencing number
+    /// Refuses orders with an outdated fencing number
     #[bpaf(long("check-fencing"), switch)]
     check_fencing: bool,
 }
 
 impl EngineArguments {
-    /// The stand-in's options.
+    /// Converts the arguments into options of the stand-in.
     pub fn into_options(self) -> EngineOptions {
         EngineOptions {
             listen: self.listen,
@@ -139,26 +139,26 @@
     }
 }
 
-/// Arguments of the weight store.
+/// Arguments of the weight store stand-in.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(weight_arguments))]
 pub struct WeightArguments {
-    /// Where it listens
+    /// Listen address
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Loads that may begin in a second (default: 4)
+    /// Loads that may start per second (default: 4)
     #[bpaf(long, argument("RATE"), fallback(4.0))]
     rate: f64,
-    /// Loads at full speed at once (default: 3)
+    /// Concurrent loads that run at full speed (default: 3)
     #[bpaf(long("full-speed"), argument("COUNT"), fallback(3))]
     full_speed: u32,
-    /// Time of a load at full speed in milliseconds (default: 500)
+    /// Duration of a load at full speed, in milliseconds (default: 500)
     #[bpaf(long("load-ms"), argument("MS"), fallback(500))]
     load_ms: u64,
 }
 
 impl WeightArguments {
-    /// The stand-in's options.
+    /// Converts the arguments into options of the stand-in.
     pub fn into_options(self) -> WeightOptions {
         WeightOptions {
             listen: self.listen,
@@ -169,45 +169,45 @@
     }
 }
 
-/// Arguments of a plain service.
+/// Arguments of the service stand-in.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(service_arguments))]
 pub struct ServiceArguments {
-    /// Where it listens
+    /// Listen address
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Time of a call in milliseconds (default: 5)
+    /// Processing time of a call, in milliseconds (default: 5)
     #[bpaf(long("call-ms"), argument("MS"), fallback(5))]
     call_ms: u64,
 }
 
 impl ServiceArguments {
-    /// The stand-in's options.
+    /// Converts the arguments into options of the stand-in.
     pub fn into_options(self) -> ServiceOptions {
         ServiceOptions { listen: self.listen, call_time: Duration::from_millis(self.call_ms) }
     }
 }
 
-/// Arguments of a proxy.
+/// Arguments of the fault proxy.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(fault_arguments))]
 pub struct FaultArguments {
-    /// What it carries: tcp or udp
+    /// Transport protocol: tcp or udp
     #[bpaf(argument("KIND"))]
     transport: String,
-    /// Where it listens
+    /// Listen address
     #[bpaf(argument("ADDR"))]
     listen: SocketAddr,
-    /// Where it sends on
+    /// Address to forward to
     #[bpaf(argument("ADDR"))]
     upstream: SocketAddr,
-    /// Where it takes faults
+    /// Listen address of the control API, which sets the faults
     #[bpaf(argument("ADDR"))]
     control: SocketAddr,
 }
 
 impl FaultArguments {
-    /// The proxy's options.
+    /// Converts the arguments into options of the proxy; fails on an unknown transport.
     pub fn into_options(self) -> Result<ProxyOptions> {
         let transport = match self.transport.as_str() {
             "tcp" => ProxyTransport::Tcp,
@@ -223,8 +223,8 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(demo_arguments))]
 pub struct DemoArguments {
-    /// Stops the system gracefully after the requests; exit status 0 only if each answer was whole
-    /// and right
+    /// Stops the cluster gracefully after the requests; the exit status is 0 only if all answers
+    /// were complete and correct
     #[bpaf(switch)]
     pub once: bool,
 }
@@ -233,13 +233,13 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(overhead_arguments))]
 pub struct OverheadArguments {
-    /// Writes the figures to a file
+    /// Writes the results to a JSON file
     #[bpaf(argument("FILE"))]
     pub json: Option<PathBuf>,
-    /// Rates to measure at, in requests a second (default: 1, 100 and 500)
+    /// Rate to measure at, in requests per second; repeatable (default: 1, 100 and 500)
     #[bpaf(long("rate"), argument("RATE"))]
     pub rates: Vec<u32>,
-    /// Seconds at each rate (default: 10)
+    /// Duration of the measurement at each rate, in seconds (default: 10)
     #[bpaf(argument("SECONDS"), fallback(10.0))]
     pub seconds: f64,
 }
@@ -248,88 +248,89 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(fault_run_arguments))]
 pub struct FaultRunArguments {
-    /// Seed of all that is random (default: 1)
+    /// Seed of the random number generators (default: 1)
     #[bpaf(argument("NUMBER"), fallback(1))]
     pub seed: u64,
-    /// Seconds of faults (default: 120)
+    /// Time during which faults are injected, in seconds (default: 120)
     #[bpaf(argument("SECONDS"), fallback(120))]
     pub seconds: u64,
-    /// Only kinds of faults with this in their name, such as "stop" or "platform"
+    /// Injects only faults with this text in their name, such as "stop" or "platform"
     #[bpaf(argument("TEXT"))]
     pub only: Option<String>,
-    /// Breaks a promise on purpose, to show that the run reports it: answer, eviction, not-run, once
+    /// Violates a guarantee on purpose, to test that the run detects it: answer, eviction, not-run
+    /// or once
     #[bpaf(long("break"), argument("PROMISE"))]
     pub break_promise: Option<String>,
-    /// Writes the outcome to a file
+    /// Writes the report to a JSON file
     #[bpaf(argument("FILE"))]
     pub json: Option<PathBuf>,
 }
 
-/// Arguments of the policy comparison. What is not given comes from the workload.
+/// Arguments of the policy comparison. Options that are not set are taken from the workload.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(bench_arguments))]
 pub struct BenchArguments {
     /// Workload: sripada or acseq
     #[bpaf(argument("NAME"), fallback("sripada".into()))]
     pub workload: String,
-    /// Policies, joined by commas, or all (default: all)
+    /// Policies, separated by commas, or all (default: all)
     #[bpaf(argument("NAMES"), fallback("all".into()))]
     pub policy: String,
-    /// Seed of all that is random (default: 1)
+    /// Seed of the random number generator (default: 1)
     #[bpaf(argument("NUMBER"), fallback(1))]
     pub seed: u64,
-    /// Seconds that are counted
+    /// Duration of the measurement, in seconds
     #[bpaf(argument("SECONDS"))]
     pub seconds: Option<u64>,
-    /// Seconds before them that are not
+    /// Duration of the warm-up before the measurement, in seconds
     #[bpaf(long("warm-up"), argument("SECONDS"))]
     pub warm_up: Option<u64>,
-    /// Adapters
+    /// Number of adapters
     #[bpaf(argument("COUNT"))]
     pub adapters: Option<usize>,
-    /// Exponent of the Zipf distribution of their popularity
+    /// Exponent of the Zipf distribution of the adapters' popularity
     #[bpaf(argument("NUMBER"))]
     pub skew: Option<f64>,
-    /// Requests a second
+    /// Requests per second
     #[bpaf(argument("RATE"))]
     pub rate: Option<f64>,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("COUNT"))]
     pub targets: Option<usize>,
-    /// Adapter slots of an engine
+    /// Adapter slots per engine
     #[bpaf(argument("COUNT"))]
     pub slots: Option<usize>,
-    /// Tokens of a prompt
+    /// Tokens per prompt
     #[bpaf(long("prompt-tokens"), argument("COUNT"))]
     pub prompt_tokens: Option<u32>,
-    /// Tokens of an answer, on average
+    /// Mean number of tokens per answer
     #[bpaf(long("answer-tokens"), argument("COUNT"))]
     pub answer_tokens: Option<u32>,
-    /// Share of upper-priority requests
+    /// Share of upper-priority requests, from 0 to 1
     #[bpaf(long("upper-share"), argument("SHARE"))]
     pub upper_share: Option<f64>,
-    /// Weight of the load stall in the cost policy
+    /// Weight of load stalls in the cost policy
     #[bpaf(long("stall-weight"), argument("NUMBER"))]
     pub stall_weight: Option<f64>,
-    /// Weight of the batch in the cost policy
+    /// Weight of filling batches in the cost policy
     #[bpaf(long("batch-weight"), argument("NUMBER"))]
     pub batch_weight: Option<f64>,
-    /// Second after the warm-up at which a quiet adapter turns into the busiest
+    /// Time after the warm-up at which an unpopular adapter becomes the most popular one, in seconds
     #[bpaf(long("shift-at"), argument("SECONDS"))]
     pub shift_at: Option<u64>,
-    /// Writes the figures to a file
+    /// Writes the results to a JSON file
     #[bpaf(argument("FILE"))]
     pub json: Option<PathBuf>,
 }
 
-/// Arguments of the drawing.
+/// Arguments of the plot.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(plot_arguments))]
 pub struct PlotArguments {
-    /// The SVG file to write
+    /// SVG file to write
     #[bpaf(argument("FILE"))]
     pub out: PathBuf,
-    /// Files that bench wrote with --json
+    /// Result files written by bench with --json
     #[bpaf(positional("FILE"))]
     pub files: Vec<PathBuf>,
 }
@@ -338,12 +339,12 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(generate(scale_arguments))]
 pub struct ScaleArguments {
-    /// Writes the figures to a file
+    /// Writes the results to a JSON file
     #[bpaf(argument("FILE"))]
     pub json: Option<PathBuf>,
 }
 
-/// Reads the command line.
+/// Parses the command line; on `--help` or an error, prints the text and returns the exit status.
 pub fn read() -> Result<StandinCommand, ExitCode> {
     standin_command().run_inner(Args::current_args()).map_err(|failure| {
         let is_error = matches!(failure, ParseFailure::Stderr(_));
--- a/crates/standin/tests/integration/crashes.rs
+++ b/crates/standin/tests/integration/crashes.rs
@@ -24,7 +24,7 @@
         let answer = call.send(cluster.http(), cluster.entry(entry)).await?;
         ensure!(answer.status != 200 || answer.broken.is_some(), "served: {}", answer.text());
         sleep(NEWS_TIME).await;
-        crashes += cluster.revive_engines()?;
+        crashes += cluster.restart_crashed_engines()?;
     }
     Ok(crashes)
 }
