--- a/crates/standin/src/bench.rs
+++ b/crates/standin/src/bench.rs
@@ -1,4 +1,5 @@
-//! Compares routing policies under a workload, all in the same run against real processes.
+//! Benchmark that compares routing policies under a workload. Each policy has its own cluster of
+//! real processes; all run at the same time with the same requests.
 
 pub mod driver;
 pub mod optimal;
@@ -14,7 +15,7 @@
     options::BenchArguments,
     weights::WeightCounts,
 };
-use driver::{RequestSample, drive};
+use driver::{RequestSample, replay_trace};
 use eyre::{Result, WrapErr, bail, ensure};
 use plantain_core::policy::RoutingPolicy;
 use report::PolicyRow;
@@ -23,25 +24,25 @@
 use tokio::{task::JoinSet, time::Instant};
 use workload::{Trace, Workload};
 
-/// Time between the start of the systems and the first request.
-const HEAD_START: Duration = Duration::from_millis(500);
+/// Delay between the start of the last cluster and the first request.
+const START_DELAY: Duration = Duration::from_millis(500);
 
-/// Counters of a system at one moment.
+/// Counters of a cluster at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemCounts {
-    /// Steps of all engines.
+    /// Batch steps of all engines.
     pub steps: u64,
-    /// Sequences over all steps.
+    /// Sum of the batch sizes over all steps.
     pub sequence_steps: u64,
-    /// Loads begun at the store.
+    /// Loads started at the weight store.
     pub loads: u64,
-    /// Loads refused by the store.
+    /// Loads refused by the weight store.
     pub refused_loads: u64,
-    /// Loads of adapters evicted a moment before.
+    /// Loads of recently evicted adapters.
     pub thrash: u64,
 }
 
-/// Runs the comparison.
+/// Runs the comparison and prints a row per policy.
 pub async fn run(arguments: BenchArguments) -> Result<()> {
     let workload = Arc::new(Workload::new(&arguments)?);
     let policies = policies(&arguments.policy)?;
@@ -51,8 +52,8 @@
     for policy in &policies {
         clusters.push((*policy, start(&workload, *policy).await?));
     }
-    // All policies meet the same requests at the same moments.
-    let begin = Instant::now() + HEAD_START;
+    // All policies get the same requests at the same time.
+    let begin = Instant::now() + START_DELAY;
     let mut runs = JoinSet::new();
     for (policy, cluster) in clusters {
         let (workload, trace) = (Arc::clone(&workload), Arc::clone(&trace));
@@ -79,10 +80,10 @@
     names.split(',').map(parse).collect()
 }
 
-/// Starts a system for a policy. Baselines evict the least recently used adapter and load in the
-/// order of asking.
+/// Starts and configures a cluster for a policy. The baselines (all but `cost`) use LRU eviction and
+/// grant loads first in, first out.
 async fn start(workload: &Workload, policy: RoutingPolicy) -> Result<Cluster> {
-    let is_ours = policy == RoutingPolicy::Cost;
+    let is_cost_policy = policy == RoutingPolicy::Cost;
     let zones: Vec<&str> = workload.zones.iter().map(String::as_str).collect();
     let mut plan = ClusterPlan::new(zones.len(), 0, &zones);
     plan.engines = (0..workload.targets)
@@ -94,8 +95,8 @@
         .collect();
     plan.services.clear();
     policy.name().clone_into(&mut plan.policy);
-    plan.eviction = if is_ours { "worth" } else { "lru" }.into();
-    plan.load_order = if is_ours { "urgency" } else { "fifo" }.into();
+    plan.eviction = if is_cost_policy { "worth" } else { "lru" }.into();
+    plan.load_order = if is_cost_policy { "urgency" } else { "fifo" }.into();
     plan.slots = workload.slots;
     plan.batch_limit = workload.batch_limit;
     plan.step_us = workload.step_us;
@@ -140,6 +141,8 @@
     Ok(cluster)
 }
 
+/// Replays the trace against one cluster and computes its figures. Counters are read at the start and
+/// the end of the measurement.
 async fn run_policy(
     policy: RoutingPolicy,
     cluster: Cluster,
@@ -148,16 +151,16 @@
     begin: Instant,
 ) -> Result<PolicyRow> {
     let entries: Vec<_> = (0..workload.zones.len()).map(|index| cluster.entry(index)).collect();
-    let driving = drive(entries, Arc::clone(trace), begin, workload.deadline);
-    let warm = async {
+    let replay = replay_trace(entries, Arc::clone(trace), begin, workload.deadline);
+    let at_start = async {
         tokio::time::sleep_until(begin + workload.warm_up).await;
         count(&cluster, workload.targets).await
     };
-    let cool = async {
+    let at_end = async {
         tokio::time::sleep_until(begin + workload.warm_up + workload.seconds).await;
         count(&cluster, workload.targets).await
     };
-    let (samples, before, after) = tokio::join!(driving, warm, cool);
+    let (samples, before, after) = tokio::join!(replay, at_start, at_end);
     let (before, after) = (before?, after?);
     let counted: Vec<RequestSample> =
         samples.into_iter().filter(|sample| sample.sent >= workload.warm_up).collect();
@@ -167,7 +170,7 @@
     }
     let optimal = optimal::loads(trace, workload);
     let row = PolicyRow::new(policy, workload, &counted, &before, &after, optimal);
-    ensure!(cluster.shut_down().await?, "a process did not stop in order");
+    ensure!(cluster.shut_down().await?, "a process did not stop with exit status 0");
     Ok(row)
 }
 
--- a/crates/standin/src/bench/driver.rs
+++ b/crates/standin/src/bench/driver.rs
@@ -1,4 +1,5 @@
-//! Sends a trace at its own pace and notes what callers see.
+//! Open-loop load generator: sends each request of a trace at its time, whether or not earlier ones
+//! have been answered, and records the results.
 
 use super::workload::{Trace, TraceRequest, adapter_name};
 use crate::{
@@ -16,29 +17,29 @@
     time::{Instant, sleep_until},
 };
 
-/// What a caller saw of one request.
+/// Result of one request as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct RequestSample {
-    /// When it was sent, from the start.
+    /// Scheduled time of sending, relative to the start of the trace.
     pub sent: Duration,
-    /// Its importance.
+    /// Priority class.
     pub priority: Priority,
-    /// Whether it was answered whole.
+    /// Whether the answer was complete and correct.
     pub answered: bool,
-    /// Whether the answer came within the deadline.
+    /// Whether the answer was complete within the deadline.
     pub in_time: bool,
-    /// Time that it waited for its adapter.
+    /// Time that the request waited for its adapter to load, as reported by the entry.
     pub load_stall: Duration,
-    /// Time to the first token.
+    /// Time to first token; zero without an answer.
     pub first: Duration,
-    /// Mean time between tokens.
-    pub between: Option<Duration>,
-    /// Why the answer is wrong, if it is.
+    /// Mean time between tokens; absent for answers of one token.
+    pub token_gap: Option<Duration>,
+    /// Why a complete answer failed the check, if it did.
     pub wrong: Option<String>,
 }
 
-/// Sends all requests of a trace and waits for their answers.
-pub async fn drive(
+/// Sends all requests of a trace, starting at `begin`, and waits for their answers.
+pub async fn replay_trace(
     entries: Vec<SocketAddr>,
     trace: Arc<Trace>,
     begin: Instant,
@@ -69,14 +70,14 @@
         in_time: false,
         load_stall: Duration::ZERO,
         first: Duration::ZERO,
-        between: None,
+        token_gap: None,
         wrong: None,
     };
     let name = adapter_name(request.adapter);
     let call = ChatCall::new(&name, &request.prompt, request.tokens)
         .with_header("x-plantain-priority", request.priority.name());
-    // Anything else was refused, or broken off and known to be.
-    if let Ok(Some((body, last))) = follow(http, entry, &call, &mut sample).await {
+    // Otherwise the request was refused, or its answer was visibly aborted.
+    if let Ok(Some((body, last))) = read_answer(http, entry, &call, &mut sample).await {
         let model = format!("{name}@1");
         let wanted = expected_answer(&model, &request.prompt, request.tokens);
         match read_events(&body, &model) {
@@ -91,7 +92,9 @@
     sample
 }
 
-async fn follow(
+/// Sends a call and reads its answer. Returns the body and the time to its end, or `None` if the call
+/// was refused.
+async fn read_answer(
     http: &HttpClient,
     entry: SocketAddr,
     call: &ChatCall,
@@ -117,7 +120,7 @@
     let last = started.elapsed();
     sample.first = first.unwrap_or(last);
     if call.tokens > 1 {
-        sample.between = Some(last.saturating_sub(sample.first) / (call.tokens - 1));
+        sample.token_gap = Some(last.saturating_sub(sample.first) / (call.tokens - 1));
     }
     Ok(Some((body, last)))
 }
--- a/crates/standin/src/bench/optimal.rs
+++ b/crates/standin/src/bench/optimal.rs
@@ -1,10 +1,10 @@
-//! A bound: the loads that an offline optimal cache of the same total slots needs.
+//! Lower bound for loads: those of an offline optimal cache with the same total number of slots.
 
 use super::workload::{Trace, Workload};
 use std::collections::{BTreeSet, HashMap};
 
-/// Loads within the counted time, when every eviction takes the adapter whose next use is furthest
-/// away (Belady's rule) and all slots form one cache.
+/// Loads after the warm-up if all slots form one cache and each eviction takes the adapter whose next
+/// use is furthest away (Belady's algorithm).
 pub fn loads(trace: &Trace, workload: &Workload) -> u64 {
     let requests = &trace.requests;
     let mut next_use = vec![usize::MAX; requests.len()];
--- a/crates/standin/src/bench/report.rs
+++ b/crates/standin/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, as a table and as JSON.
+//! Results of a benchmark run, as a table and as JSON.
 
 use super::{SystemCounts, driver::RequestSample, workload::Workload};
 use comfy_table::{Table, presets};
@@ -7,10 +7,10 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Quantiles of a time, in milliseconds.
+/// Statistics of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct TimeFigures {
-    /// Mean.
+    /// Arithmetic mean.
     pub mean: f64,
     /// Median.
     pub p50: f64,
@@ -18,7 +18,7 @@
     pub p95: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// Sum.
+    /// Sum over all requests.
     pub total: f64,
 }
 
@@ -43,47 +43,49 @@
     }
 }
 
-/// Figures of one policy.
+/// Results of one policy; the fields are the keys of the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct PolicyRow {
-    /// The policy.
+    /// Name of the routing policy.
     pub policy: &'static str,
-    /// The workload.
+    /// Name of the workload.
     pub workload: String,
-    /// The seed.
+    /// Seed of the trace.
     pub seed: u64,
-    /// Requests counted.
+    /// Requests sent after the warm-up.
     pub requests: usize,
-    /// Load stall of answered requests.
+    /// Time that answered requests waited for their adapter to load.
     pub load_stall_ms: TimeFigures,
-    /// Load stall of answered upper-priority requests.
+    /// The same for upper-priority requests.
     pub upper_load_stall_ms: TimeFigures,
-    /// Share of answered requests that stalled.
+    /// Share of answered requests that waited for a load.
     pub stalled_share: f64,
-    /// Sequences a step over the batch limit, in steps that ran any.
+    /// Mean batch size divided by the batch limit, over the steps of all engines. Idle engines run no
+    /// steps.
     pub batch_efficiency: f64,
-    /// Requests answered whole within the deadline, a second.
+    /// Requests per second with a complete answer within the deadline.
     pub goodput_rps: f64,
-    /// Time to the first token.
+    /// Time to first token.
     pub ttft_ms: TimeFigures,
-    /// Time between tokens.
+    /// Time per output token after the first.
     pub tpot_ms: TimeFigures,
-    /// Requests that got no whole answer.
+    /// Requests without a complete answer.
     pub refused: usize,
-    /// Loads of adapters evicted a moment before.
+    /// Loads of recently evicted adapters.
     pub thrash: u64,
-    /// Loads begun.
+    /// Loads started at the weight store.
     pub loads: u64,
-    /// Loads that the store refused.
+    /// Loads refused by the weight store.
     pub refused_loads: u64,
-    /// Loads that an offline optimal cache needs.
+    /// Loads of an offline optimal cache (see `optimal`).
     pub optimal_loads: u64,
-    /// Mean load stall in each second, from the end of the warm-up.
+    /// Mean load stall of the requests sent in each second after the warm-up.
     pub stall_by_second_ms: Vec<f64>,
 }
 
 impl PolicyRow {
-    /// Works out the figures of a run.
+    /// Computes the results from the samples after the warm-up and the counters before and after the
+    /// measurement.
     pub fn new(
         policy: RoutingPolicy,
         workload: &Workload,
@@ -111,7 +113,7 @@
             batch_efficiency: (after.sequence_steps - before.sequence_steps) as f64 / steps,
             goodput_rps: in_time / workload.seconds.as_secs_f64(),
             ttft_ms: TimeFigures::new(answered.iter().map(|s| s.first)),
-            tpot_ms: TimeFigures::new(answered.iter().filter_map(|s| s.between)),
+            tpot_ms: TimeFigures::new(answered.iter().filter_map(|s| s.token_gap)),
             refused: samples.len() - answered.len(),
             thrash: after.thrash - before.thrash,
             loads: after.loads - before.loads,
@@ -135,7 +137,7 @@
     sums.into_iter().map(|(sum, count)| sum / f64::from(count.max(1))).collect()
 }
 
-/// Prints the table.
+/// Prints the results as a table, one row per policy.
 pub fn print(rows: &[PolicyRow]) {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
--- a/crates/standin/src/bench/workload.rs
+++ b/crates/standin/src/bench/workload.rs
@@ -1,4 +1,4 @@
-//! Workloads: who asks for what, and when.
+//! Workloads of the benchmark and the request traces that are drawn from them.
 
 use crate::options::BenchArguments;
 use eyre::{Result, bail, ensure};
@@ -6,66 +6,66 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use std::time::Duration;
 
-/// Share of the rate in the first half of the warm-up.
-const WARM_SHARE: f64 = 0.4;
+/// Share of the request rate that is sent in the first half of the warm-up.
+const WARM_UP_RATE_SHARE: f64 = 0.4;
 
-/// A workload.
+/// Parameters of a workload and of the cluster that it runs on.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Its name.
+    /// Name of the workload.
     pub name: String,
     /// Availability zones; each has an entry.
     pub zones: Vec<String>,
-    /// Engines.
+    /// Number of engines.
     pub targets: usize,
-    /// Adapter slots of an engine.
+    /// Adapter slots per engine.
     pub slots: usize,
-    /// Sequences that an engine runs at once.
+    /// Most sequences in an engine's batch.
     pub batch_limit: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Exponent of the Zipf distribution of their popularity.
+    /// Exponent of the Zipf distribution of the adapters' popularity.
     pub skew: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Tokens of a prompt.
+    /// Tokens per prompt.
     pub prompt_tokens: u32,
-    /// Tokens of an answer, on average.
+    /// Mean number of tokens per answer.
     pub answer_tokens: u32,
-    /// Share of upper-priority requests.
+    /// Share of upper-priority requests, from 0 to 1.
     pub upper_share: f64,
-    /// Deadline of a request.
+    /// Deadline of each request.
     pub deadline: Duration,
-    /// Requests that may wait at one target.
+    /// Most requests that wait at one target.
     pub queue_limit: u32,
-    /// Time that is not counted.
+    /// Time before the measurement, whose requests are not counted.
     pub warm_up: Duration,
-    /// Time that is counted.
+    /// Duration of the measurement.
     pub seconds: Duration,
-    /// When, after the warm-up, a quiet adapter turns into the busiest.
+    /// Time after the warm-up at which an unpopular adapter becomes the most popular one, if ever.
     pub shift_at: Option<Duration>,
-    /// Loads that the store lets begin in a second.
+    /// Loads that may start per second at the weight store.
     pub store_rate: f64,
-    /// Time of a load at full speed, in milliseconds.
+    /// Duration of a load at full speed, in milliseconds.
     pub load_ms: u64,
-    /// Time of a step, in microseconds.
+    /// Base time of a batch step, in microseconds.
     pub step_us: u64,
     /// Time that each sequence adds to a step, in microseconds.
     pub sequence_us: u64,
     /// Time that each distinct adapter adds to a step, in microseconds.
     pub adapter_us: u64,
-    /// Time that each prompt token adds to a step, in microseconds.
+    /// Time that each prompt token to prefill adds to a step, in microseconds.
     pub prompt_us: u64,
-    /// Weight of the load stall in ours.
+    /// Weight of load stalls in the cost policy.
     pub stall_weight: f64,
-    /// Weight of the batch in ours.
+    /// Weight of filling batches in the cost policy.
     pub batch_weight: f64,
-    /// Seed of all that is random.
+    /// Seed of the trace.
     pub seed: u64,
 }
 
 impl Workload {
-    /// A named workload with the given properties changed.
+    /// Creates the named workload, with the parameters that are set on the command line.
     pub fn new(arguments: &BenchArguments) -> Result<Self> {
         let mut workload = match arguments.workload.as_str() {
             "sripada" => sripada(),
@@ -95,7 +95,7 @@
         Ok(workload)
     }
 
-    /// One line for the head of the table.
+    /// Title line of the result table.
     pub fn describe(&self, requests: usize) -> String {
         format!(
             "{}: {} adapters, Zipf {}, {} requests at {}/s, {} engines x {} slots, {} zones, seed {}",
@@ -112,14 +112,14 @@
     }
 }
 
-fn names(names: &[&str]) -> Vec<String> {
+fn to_strings(names: &[&str]) -> Vec<String> {
     names.iter().map(|&name| name.to_owned()).collect()
 }
 
 fn sripada() -> Workload {
     Workload {
         name: "sripada".into(),
-        zones: names(&["kandy", "nuwara", "hatton"]),
+        zones: to_strings(&["kandy", "nuwara", "hatton"]),
         targets: 12,
         slots: 8,
         batch_limit: 16,
@@ -149,7 +149,7 @@
 fn acseq() -> Workload {
     Workload {
         name: "acseq".into(),
-        zones: names(&["montreal-est", "laval", "longueuil", "quebec-ville"]),
+        zones: to_strings(&["montreal-est", "laval", "longueuil", "quebec-ville"]),
         answer_tokens: 120,
         prompt_tokens: 1_500,
         rate: 38.0,
@@ -168,32 +168,32 @@
     format!("member-{index:05}")
 }
 
-/// One request of a trace.
+/// A request of a trace.
 #[derive(Clone, Debug)]
 pub struct TraceRequest {
-    /// When it is sent, from the start.
+    /// Time of sending, relative to the start of the trace.
     pub at: Duration,
-    /// Its adapter.
+    /// Index of the adapter.
     pub adapter: usize,
-    /// Its importance.
+    /// Priority class.
     pub priority: Priority,
-    /// Tokens of its answer.
+    /// Tokens to generate.
     pub tokens: u32,
-    /// Its prompt.
+    /// Content of the user's message.
     pub prompt: String,
-    /// The entry that it goes to, as a number to be taken modulo their count.
+    /// Number that selects the entry by its remainder modulo the number of entries.
     pub entry: usize,
 }
 
-/// All requests of a run, the same for each policy.
+/// All requests of a run; each policy gets the same ones.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// In the order of sending.
+    /// Requests in the order of sending.
     pub requests: Vec<TraceRequest>,
 }
 
 impl Trace {
-    /// Draws a trace: Poisson arrivals, Zipf popularity over a shuffled order of adapters.
+    /// Draws a trace with Poisson arrivals and Zipf popularity over a shuffled list of adapters.
     pub fn new(workload: &Workload) -> Self {
         let mut random = StdRng::seed_from_u64(workload.seed);
         let mut order: Vec<usize> = (0..workload.adapters).collect();
@@ -205,14 +205,14 @@
         let mut at = Duration::ZERO;
         let mut requests = Vec::new();
         loop {
-            let rate = workload.rate * warm_share(workload, at);
+            let rate = workload.rate * rate_share(workload, at);
             let gap = -random.random_range(f64::EPSILON..1.0_f64).ln() / rate;
             at += Duration::from_secs_f64(gap);
             if at >= end {
                 return Self { requests };
             }
             if !shifted && shift.is_some_and(|shift| at >= shift) {
-                // Yesterday's quiet adapter takes the place of the busiest.
+                // An unpopular adapter (rank 90 %) swaps ranks with the most popular one.
                 order.swap(0, workload.adapters * 9 / 10);
                 shifted = true;
             }
@@ -223,11 +223,11 @@
     }
 }
 
-/// Share of the rate at a moment. The empty slots of a cold start would leave a backlog of loads that
-/// takes minutes to clear at any rate near the store's limit, so the first half of the warm-up runs
-/// at a lower rate.
-fn warm_share(workload: &Workload, at: Duration) -> f64 {
-    if at < workload.warm_up / 2 { WARM_SHARE } else { 1.0 }
+/// Share of the request rate at a time. After a cold start all slots are empty; at a rate near the
+/// weight store's limit the backlog of loads would take minutes to clear, so the first half of the
+/// warm-up runs at a lower rate.
+fn rate_share(workload: &Workload, at: Duration) -> f64 {
+    if at < workload.warm_up / 2 { WARM_UP_RATE_SHARE } else { 1.0 }
 }
 
 fn draw_request(
@@ -238,7 +238,7 @@
 ) -> TraceRequest {
     let upper = random.random_bool(workload.upper_share);
     let spread = random.random_range(0.5..1.5);
-    // Prompts of one adapter start alike, as those with the same instructions do.
+    // Prompts for an adapter share a prefix, like prompts with the same instructions.
     let prefix = format!("{}: ", adapter_name(adapter)).repeat(16);
     let question: u32 = random.random();
     let length = (workload.prompt_tokens as usize * 4).saturating_sub(prefix.len());
@@ -253,6 +253,7 @@
     }
 }
 
+/// Cumulative probabilities of a Zipf distribution over `count` ranks.
 fn zipf(count: usize, skew: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=count).map(|rank| (rank as f64).powf(-skew)).collect();
     let total: f64 = weights.iter().sum();
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a small complete system on loopback, real requests, and lines to try by hand.
+//! Demo: starts a small test cluster on loopback, sends requests and prints commands to try.
 
 use crate::{
     call::ChatCall,
@@ -9,14 +9,14 @@
 use std::{env, fmt::Write, fs, process::Command};
 use tokio::sync::watch;
 
-/// Adapters of the demo.
+/// Number of adapters.
 const ADAPTERS: usize = 200;
-/// Requests of the demo: every so many adapters.
+/// A request is sent to every adapter whose index is a multiple of this.
 const ADAPTER_STEP: usize = 17;
 /// Tokens of each answer.
 const TOKENS: u32 = 12;
 
-/// Runs the demo.
+/// Runs the demo until `stopping`, or with `--once` until all answers have been checked.
 pub async fn run(arguments: DemoArguments, mut stopping: watch::Receiver<bool>) -> Result<()> {
     build_programs()?;
     let plan = ClusterPlan::new(2, 3, &["kandy", "nuwara", "hatton"]);
@@ -25,9 +25,9 @@
     configure(&cluster).await?;
     let wrong = send_requests(&cluster).await?;
     if arguments.once {
-        ensure!(cluster.shut_down().await?, "a process did not stop in order");
-        ensure!(wrong == 0, "{wrong} answers were not whole and right");
-        println!("all answers whole and right; stopped gracefully");
+        ensure!(cluster.shut_down().await?, "a process did not stop with exit status 0");
+        ensure!(wrong == 0, "{wrong} answers were not complete and correct");
+        println!("all answers complete and correct; stopped gracefully");
         return Ok(());
     }
     print_hints(&cluster);
@@ -35,7 +35,7 @@
     cluster.shut_down().await.map(drop)
 }
 
-/// Under `cargo run` only this program is built; the demo needs the others too.
+/// Builds all programs of the workspace under `cargo run`, which builds only this one.
 fn build_programs() -> Result<()> {
     let Some(cargo) = env::var_os("CARGO") else { return Ok(()) };
     let mut command = Command::new(cargo);
@@ -64,8 +64,8 @@
     print!("{}", cluster.control_ok(&["adapter", "import", &file]).await?);
     let service = ["service", "put", "desk", "--route", "POST /stamps once"];
     print!("{}", cluster.control_ok(&service).await?);
-    let switched = ["--wait", "10", "preset", "put", "peak", "--batch-weight", "3"];
-    print!("{}", cluster.control_ok(&switched).await?);
+    let preset = ["--wait", "10", "preset", "put", "peak", "--batch-weight", "3"];
+    print!("{}", cluster.control_ok(&preset).await?);
     Ok(())
 }
 
@@ -73,7 +73,7 @@
     format!("house-{index:04}")
 }
 
-/// Returns how many answers were wrong.
+/// Sends the requests, prints a line for each, and returns the number of wrong answers.
 async fn send_requests(cluster: &Cluster) -> Result<usize> {
     let mut wrong = 0;
     println!(
@@ -83,7 +83,7 @@
     for (round, index) in (0..ADAPTERS).step_by(ADAPTER_STEP).enumerate() {
         let name = adapter_name(index);
         let current = 1 + index % 3;
-        // Every other request names its version.
+        // Every other request selects a version.
         let (model, version) = match round % 2 {
             0 => (name.clone(), current),
             _ => (format!("{name}@3"), 3),
@@ -93,19 +93,19 @@
             call = call.without_streaming();
         }
         let answer = call.send(cluster.http(), cluster.entry(round % 2)).await?;
-        let verdict = call.check(&answer, &format!("{name}@{version}"));
+        let check = call.check(&answer, &format!("{name}@{version}"));
         println!(
             "{model:<14} {:<16} {:<10} {:>6} ms {:>6} ms  {}",
             answer.header("x-plantain-adapter").unwrap_or("-"),
             answer.header("x-plantain-target").unwrap_or("-"),
             answer.header("x-plantain-load-stall-ms").unwrap_or("-"),
             answer.last.as_millis(),
-            match &verdict {
-                Ok(()) => "whole and right".to_owned(),
+            match &check {
+                Ok(()) => "complete and correct".to_owned(),
                 Err(error) => format!("WRONG: {error:#}"),
             }
         );
-        wrong += usize::from(verdict.is_err());
+        wrong += usize::from(check.is_err());
     }
     Ok(wrong)
 }
@@ -117,7 +117,7 @@
     let control = format!("{}/plantainctl --platform {platform}", folder.unwrap_or_default());
     println!(
         r#"
-The system is up; Ctrl-C stops it. Try:
+The cluster is running; Ctrl-C stops it. Try:
 
   curl -N http://{entry}/v1/chat/completions -d '{{"model":"house-0042@3","stream":true,"max_tokens":8,"messages":[{{"role":"user","content":"Is the east gate open?"}}]}}'
   curl http://{entry}/v1/models
--- a/crates/standin/src/overhead.rs
+++ b/crates/standin/src/overhead.rs
@@ -1,4 +1,4 @@
-//! Measures the time that entry and agent add to calling the engine directly, side by side.
+//! Measures the latency that entry and agent add, by calling the engine directly and through them.
 
 use crate::{
     call::ChatCall,
@@ -19,23 +19,23 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Rates that are measured if none is named.
+/// Default rates, in requests per second.
 const RATES: [u32; 3] = [1, 100, 500];
-/// Tokens of an answer.
+/// Tokens per answer.
 const TOKENS: u32 = 4;
-/// Share of the requests that only warm up.
+/// Requests of the warm-up, as a share of the counted requests.
 const WARM_UP: f64 = 0.1;
-/// Fewest requests that a rate is measured with.
-const REQUEST_FLOOR: usize = 20;
+/// Fewest counted requests at each rate.
+const MIN_REQUESTS: usize = 20;
 
-/// Two quantiles, in milliseconds.
+/// Median and 99th percentile, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Quantiles {
     p50: f64,
     p99: f64,
 }
 
-/// Figures at one rate.
+/// Results at one rate; the fields are the keys of the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct OverheadRow {
     rate: u32,
@@ -49,11 +49,11 @@
     agent_rss_kb: u64,
 }
 
-/// Runs the measurement.
+/// Runs the measurement at each rate and prints a row for it.
 pub async fn run(arguments: OverheadArguments) -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
-    // An engine that takes no time: its steps would be rounded up to the timer's millisecond, which
-    // is more than what is measured.
+    // The engine's steps take no time: the timer would round them up to a millisecond, which is more
+    // than the latency that is measured.
     (plan.step_us, plan.sequence_us, plan.adapter_us, plan.prompt_us) = (0, 0, 0, 0);
     plan.batch_limit = 512;
     plan.log_level = "warning".into();
@@ -75,9 +75,9 @@
         let row = measure(&cluster, rate, arguments.seconds).await?;
         println!(
             "{rate:>6} {} {} {} {:>8.0} {:>8.0}",
-            pair(row.direct_ms),
-            pair(row.through_ms),
-            pair(row.added_ms),
+            format_quantiles(row.direct_ms),
+            format_quantiles(row.through_ms),
+            format_quantiles(row.added_ms),
             row.entry_cpu_us_per_request,
             row.agent_cpu_us_per_request
         );
@@ -87,18 +87,18 @@
         let text = serde_json::to_string_pretty(&rows)?;
         fs::write(&file, text).wrap_err_with(|| format!("write {}", file.display()))?;
     }
-    ensure!(cluster.shut_down().await?, "a process did not stop in order");
+    ensure!(cluster.shut_down().await?, "a process did not stop with exit status 0");
     Ok(())
 }
 
-fn pair(quantiles: Quantiles) -> String {
+fn format_quantiles(quantiles: Quantiles) -> String {
     format!("{:>10.3} {:>10.3}", quantiles.p50, quantiles.p99)
 }
 
-/// Sends direct calls and calls through the system in turn, half a period apart, so that both meet
-/// the same state of the machine.
+/// Alternates calls to the engine and calls through the entry, half a period apart, so that both run
+/// under the same machine load.
 async fn measure(cluster: &Cluster, rate: u32, seconds: f64) -> Result<OverheadRow> {
-    let count = ((f64::from(rate) * seconds) as usize).max(REQUEST_FLOOR);
+    let count = ((f64::from(rate) * seconds) as usize).max(MIN_REQUESTS);
     let warm_up = (count as f64 * WARM_UP).ceil() as usize;
     let call = ChatCall::new("house-0001@1", "Is the gate open?", TOKENS);
     let http = HttpClient::new();
@@ -152,7 +152,7 @@
     if through {
         call.check(&answer, "house-0001@1")?;
     } else if !answer.status.is_success() {
-        // The adapter is resident once the first call has gone through the system.
+        // The first call through the entry loads the adapter; direct calls before that may fail.
         if counted {
             bail!("engine: {}", answer.text());
         }
@@ -165,24 +165,24 @@
     Quantiles { p50: millis(0.5), p99: millis(0.99) }
 }
 
-/// What a process has used so far.
+/// Resource usage of a process since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessUsage {
-    /// Processor time in microseconds.
+    /// User and system CPU time, in microseconds.
     pub cpu_us: f64,
-    /// Resident memory in kilobytes.
+    /// Resident memory (`VmRSS`), in kilobytes.
     pub rss_kb: u64,
 }
 
-/// Reads a process's use from /proc.
+/// Reads the resource usage of a cluster process from /proc.
 pub fn process_usage(cluster: &Cluster, name: &str) -> Result<ProcessUsage> {
-    let Some(id) = cluster.process_id(name) else { bail!("{name} does not run") };
-    let schedule = fs::read_to_string(format!("/proc/{id}/stat")).wrap_err("read process stat")?;
-    // The second field is the name in parentheses and may hold spaces.
+    let Some(id) = cluster.process_id(name) else { bail!("{name} is not running") };
+    let stat = fs::read_to_string(format!("/proc/{id}/stat")).wrap_err("read process stat")?;
+    // The second field is the program name in parentheses; it may contain spaces.
     let fields: Vec<&str> =
-        schedule.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
+        stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |index: usize| fields.get(index).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
-    // Fields 14 and 15, user and system time, in hundredths of a second.
+    // Fields 14 and 15: user and system time in ticks of 10 ms.
     let cpu_us = (ticks(11) + ticks(12)) * 10_000.0;
     let status =
         fs::read_to_string(format!("/proc/{id}/status")).wrap_err("read process status")?;
--- a/crates/standin/src/plot.rs
+++ b/crates/standin/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws bench results as one SVG: load stall and goodput of each policy.
+//! Plots results of `bench` as an SVG with load stall and goodput of each policy.
 
 use crate::options::PlotArguments;
 use eyre::{Result, WrapErr, ensure, eyre};
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use std::fs;
 
-/// Size of the drawing.
+/// Width and height of the SVG, in pixels.
 const SIZE: (u32, u32) = (960, 420);
 
 struct PolicyBar {
@@ -19,9 +19,9 @@
     value: f64,
 }
 
-/// Draws the means over all given files.
+/// Plots the means over all given result files.
 pub fn run(arguments: &PlotArguments) -> Result<()> {
-    ensure!(!arguments.files.is_empty(), "name at least one file that bench wrote with --json");
+    ensure!(!arguments.files.is_empty(), "expected at least one result file of bench --json");
     let mut rows = Vec::new();
     for file in &arguments.files {
         let text = fs::read_to_string(file).wrap_err_with(|| format!("read {}", file.display()))?;
@@ -29,7 +29,7 @@
             serde_json::from_str(&text).wrap_err_with(|| format!("read {}", file.display()))?;
         rows.extend(value);
     }
-    ensure!(!rows.is_empty(), "the files hold no results");
+    ensure!(!rows.is_empty(), "the files contain no results");
     let root = SVGBackend::new(&arguments.out, SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(|error| eyre!("draw: {error}"))?;
     let areas = root.split_evenly((1, 3));
@@ -72,7 +72,7 @@
     root.present().map_err(|error| eyre!("write {}: {error}", arguments.out.display()))
 }
 
-/// Mean of a measure for each policy, in the order of first appearance.
+/// Mean of a value for each policy, in the order in which the policies first occur.
 fn means(rows: &[Value], pointer: &str) -> Vec<PolicyBar> {
     let mut sums: Vec<(String, f64, u32)> = Vec::new();
     for row in rows {
--- a/crates/standin/src/scale.rs
+++ b/crates/standin/src/scale.rs
@@ -1,4 +1,4 @@
-//! Measures what control costs as things grow: adapters, connections, idle time.
+//! Measures control-plane cost: an idle cluster, and growing numbers of connections and adapters.
 
 use crate::{
     cluster::{Cluster, TEST_KEY, plan::ClusterPlan},
@@ -16,16 +16,16 @@
 };
 use tokio::{net::TcpStream, time::sleep};
 
-/// Numbers of adapters that are measured.
+/// Numbers of adapters to measure.
 const ADAPTERS: [usize; 3] = [3_000, 20_000, 80_000];
-/// Numbers of idle connections that are measured.
+/// Numbers of idle connections to measure.
 const CONNECTIONS: [usize; 3] = [100, 300, 600];
-/// Time over which idle cost is measured.
+/// Duration of the measurement of an idle cluster.
 const IDLE_TIME: Duration = Duration::from_secs(10);
-/// Time in which memory settles after a change.
+/// Pause before memory is read after a change, until allocations have settled.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// One measured point.
+/// A result; its fields are the keys of the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScalePoint {
     measure: &'static str,
@@ -34,7 +34,7 @@
     unit: &'static str,
 }
 
-/// Runs the measurement.
+/// Runs all measurements and prints their results.
 pub async fn run(arguments: ScaleArguments) -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
     plan.log_level = "warning".into();
@@ -52,7 +52,7 @@
         let text = serde_json::to_string_pretty(&points)?;
         fs::write(&file, text).wrap_err_with(|| format!("write {}", file.display()))?;
     }
-    ensure!(cluster.shut_down().await?, "a process did not stop in order");
+    ensure!(cluster.shut_down().await?, "a process did not stop with exit status 0");
     Ok(())
 }
 
@@ -60,7 +60,7 @@
     ScalePoint { measure, at, value, unit }
 }
 
-/// Processor time and platform calls of a system without requests.
+/// Measures CPU time, memory and platform calls of a cluster without requests.
 async fn measure_idle(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     let before = (process_usage(cluster, "entry-0")?, process_usage(cluster, "agent-engine-0")?);
     let calls: CallCounts = cluster.page(cluster.platform(), "/standin/calls").await?;
@@ -73,18 +73,19 @@
     points.push(point("agent idle", 0, share(before.1.cpu_us, after.1.cpu_us), "% of a core"));
     points.push(point("entry memory", 0, after.0.rss_kb as f64 / 1e3, "MB"));
     points.push(point("agent memory", 0, after.1.rss_kb as f64 / 1e3, "MB"));
-    let made = |before: u64, after: u64| (after - before) as f64 / seconds;
-    let reads = made(calls.reads + calls.watches, later.reads + later.watches);
+    let per_second = |before: u64, after: u64| (after - before) as f64 / seconds;
+    let reads = per_second(calls.reads + calls.watches, later.reads + later.watches);
     points.push(point("platform reads, 1 entry + 2 agents", 3, reads, "a second"));
-    points.push(point("platform writes", 3, made(calls.writes, later.writes), "a second"));
+    points.push(point("platform writes", 3, per_second(calls.writes, later.writes), "a second"));
     Ok(())
 }
 
+/// Measures memory of an entry with idle caller connections.
 async fn measure_callers(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for count in CONNECTIONS {
-        while held.len() < count {
-            held.push(TcpStream::connect(cluster.entry(0)).await?);
+        while connections.len() < count {
+            connections.push(TcpStream::connect(cluster.entry(0)).await?);
         }
         sleep(SETTLE_TIME).await;
         let memory = process_usage(cluster, "entry-0")?.rss_kb as f64 / 1e3;
@@ -93,16 +94,17 @@
     Ok(())
 }
 
+/// Measures memory, handshake latency and CPU time of an agent with idle links of entries.
 async fn measure_links(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     let keys = PeerKeys::new(TEST_KEY, None).map_err(|error| eyre!(error))?;
     let endpoint = link::client_endpoint(cluster.platform().ip(), &keys)?;
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for count in CONNECTIONS {
         let started = Instant::now();
         let before = process_usage(cluster, "agent-engine-0")?.cpu_us;
-        let opened = count - held.len();
-        while held.len() < count {
-            held.push(endpoint.connect(cluster.engine_agent(0), PEER_NAME)?.await?);
+        let opened = count - connections.len();
+        while connections.len() < count {
+            connections.push(endpoint.connect(cluster.engine_agent(0), PEER_NAME)?.await?);
         }
         let each = started.elapsed().as_secs_f64() * 1e3 / opened as f64;
         sleep(SETTLE_TIME).await;
@@ -116,6 +118,7 @@
     Ok(())
 }
 
+/// Measures import, roll-out, CPU time and memory of an entry with a growing number of adapters.
 async fn measure_adapters(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     for count in ADAPTERS {
         let mut lines = String::new();
