--- a/crates/standin/src/bench.rs
+++ b/crates/standin/src/bench.rs
@@ -80,8 +80,8 @@
     names.split(',').map(parse).collect()
 }
 
-/// Starts and configures a cluster for a policy. The baselines (all but `cost`) use LRU eviction and
-/// grant loads first in, first out.
+/// Starts and configures a cluster for a policy. The baselines (all but `cost`) use LRU eviction
+/// and grant loads first in, first out.
 async fn start(workload: &Workload, policy: RoutingPolicy) -> Result<Cluster> {
     let is_cost_policy = policy == RoutingPolicy::Cost;
     let zones: Vec<&str> = workload.zones.iter().map(String::as_str).collect();
@@ -141,8 +141,8 @@
     Ok(cluster)
 }
 
-/// Replays the trace against one cluster and computes its figures. Counters are read at the start and
-/// the end of the measurement.
+/// Replays the trace against one cluster and computes its figures. Counters are read at the start
+/// and the end of the measurement.
 async fn run_policy(
     policy: RoutingPolicy,
     cluster: Cluster,
--- a/crates/standin/src/bench/driver.rs
+++ b/crates/standin/src/bench/driver.rs
@@ -92,8 +92,8 @@
     sample
 }
 
-/// Sends a call and reads its answer. Returns the body and the time to its end, or `None` if the call
-/// was refused.
+/// Sends a call and reads its answer. Returns the body and the time to its end, or `None` if the
+/// call was refused.
 async fn read_answer(
     http: &HttpClient,
     entry: SocketAddr,
--- a/crates/standin/src/bench/report.rs
+++ b/crates/standin/src/bench/report.rs
@@ -60,8 +60,8 @@
     pub upper_load_stall_ms: TimeFigures,
     /// Share of answered requests that waited for a load.
     pub stalled_share: f64,
-    /// Mean batch size divided by the batch limit, over the steps of all engines. Idle engines run no
-    /// steps.
+    /// Mean batch size divided by the batch limit, over the steps of all engines. Idle engines run
+    /// no steps.
     pub batch_efficiency: f64,
     /// Requests per second with a complete answer within the deadline.
     pub goodput_rps: f64,
@@ -84,8 +84,8 @@
 }
 
 impl PolicyRow {
-    /// Computes the results from the samples after the warm-up and the counters before and after the
-    /// measurement.
+    /// Computes the results from the samples after the warm-up and the counters before and after
+    /// the measurement.
     pub fn new(
         policy: RoutingPolicy,
         workload: &Workload,
--- a/crates/standin/src/cluster/plan.rs
+++ b/crates/standin/src/cluster/plan.rs
@@ -124,7 +124,8 @@
     pub adapter_us: u64,
     /// Time that each prompt token to prefill adds to a step, in microseconds.
     pub prompt_us: u64,
-    /// Loads that may start per second at the weight store; entries grant load permits at this rate.
+    /// Loads that may start per second at the weight store; entries grant load permits at this
+    /// rate.
     pub store_rate: f64,
     /// Duration of a load at full speed, in milliseconds.
     pub load_ms: u64,
--- a/crates/standin/src/cluster/process.rs
+++ b/crates/standin/src/cluster/process.rs
@@ -55,8 +55,8 @@
 }
 
 impl ManagedProcess {
-    /// Starts a program of this workspace with `TEST_KEY` as its peer key. Its output is appended to
-    /// `<name>.log` in the directory.
+    /// Starts a program of this workspace with `TEST_KEY` as its peer key. Its output is appended
+    /// to `<name>.log` in the directory.
     pub fn start(
         directory: &ClusterDirectory,
         name: &str,
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -36,7 +36,8 @@
 /// Availability zones, each with an entry.
 const ZONES: [&str; 3] = ["kandy", "nuwara", "hatton"];
 
-/// The cluster. Traffic takes the read lock; faults that end or start processes take the write lock.
+/// The cluster. Traffic takes the read lock; faults that end or start processes take the write
+/// lock.
 pub type SharedCluster = Rc<RwLock<Cluster>>;
 
 /// Runs load and faults, prints the report, and fails if a guarantee was violated.
--- a/crates/standin/src/faults/draw.rs
+++ b/crates/standin/src/faults/draw.rs
@@ -90,8 +90,8 @@
         Self { cluster, random: seeded_rng(seed, 1), begin, windows: Vec::new() }
     }
 
-    /// Injects faults for `time` and returns their windows. `only` restricts them to kinds whose name
-    /// contains the text.
+    /// Injects faults for `time` and returns their windows. `only` restricts them to kinds whose
+    /// name contains the text.
     pub async fn run(mut self, time: Duration, only: Option<&str>) -> Result<Vec<FaultWindow>> {
         let kinds: Vec<(FaultKind, &str)> = FaultKind::ALL
             .into_iter()
--- a/crates/standin/src/faults/ledger.rs
+++ b/crates/standin/src/faults/ledger.rs
@@ -194,8 +194,8 @@
     calls.iter().filter(|call| call.method == "POST")
 }
 
-/// Counts completions and stamps that ran although their callers were told otherwise. A stamp counts
-/// only if all its attempts were reported as not run.
+/// Counts completions and stamps that ran although their callers were told otherwise. A stamp
+/// counts only if all its attempts were reported as not run.
 fn check_not_run(
     ledger: &Ledger,
     engines: &[EngineRecords],
--- a/crates/standin/src/faults/traffic.rs
+++ b/crates/standin/src/faults/traffic.rs
@@ -61,8 +61,8 @@
         *self.stopping.borrow()
     }
 
-    /// Picks a random entry among those that were ready at the last poll, as a load balancer does; if
-    /// none was, among all.
+    /// Picks a random entry among those that were ready at the last poll, as a load balancer does;
+    /// if none was, among all.
     fn pick_entry(&self, random: &mut StdRng) -> SocketAddr {
         let ready = self.ready.lock().expect("no panic while locked").clone();
         let open: Vec<usize> = (0..self.entries.len()).filter(|&index| ready[index]).collect();
@@ -187,7 +187,8 @@
     while !context.is_stopping() {
         let key = format!("stamp-{caller}-{round}");
         round += 1;
-        // The caller retries after any outcome, sometimes even after an answer, often at another entry.
+        // The caller retries after any outcome, sometimes even after an answer, often at another
+        // entry.
         for _ in 0..STAMP_ATTEMPTS {
             let entry = context.pick_entry(&mut random);
             let outcome = send_stamp(&context, &key, entry).await;
@@ -245,8 +246,8 @@
     Ok(())
 }
 
-/// Polls the entries' readiness and records a reversion when a ready entry reports an older revision
-/// than it, or its predecessor before a restart, reported earlier.
+/// Polls the entries' readiness and records a reversion when a ready entry reports an older
+/// revision than it, or its predecessor before a restart, reported earlier.
 async fn observe_revisions(context: TrafficContext) -> Result<()> {
     let mut highest = vec![0; context.admins.len()];
     while !context.is_stopping() {
--- a/crates/standin/src/options.rs
+++ b/crates/standin/src/options.rs
@@ -315,7 +315,8 @@
     /// Weight of filling batches in the cost policy
     #[bpaf(long("batch-weight"), argument("NUMBER"))]
     pub batch_weight: Option<f64>,
-    /// Time after the warm-up at which an unpopular adapter becomes the most popular one, in seconds
+    /// Time after the warm-up at which an unpopular adapter becomes the most popular one, in
+    /// seconds
     #[bpaf(long("shift-at"), argument("SECONDS"))]
     pub shift_at: Option<u64>,
     /// Writes the results to a JSON file
--- a/crates/standin/src/overhead.rs
+++ b/crates/standin/src/overhead.rs
@@ -52,8 +52,8 @@
 /// Runs the measurement at each rate and prints a row for it.
 pub async fn run(arguments: OverheadArguments) -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
-    // The engine's steps take no time: the timer would round them up to a millisecond, which is more
-    // than the latency that is measured.
+    // The engine's steps take no time: the timer would round them up to a millisecond, which is
+    // more than the latency that is measured.
     (plan.step_us, plan.sequence_us, plan.adapter_us, plan.prompt_us) = (0, 0, 0, 0);
     plan.batch_limit = 512;
     plan.log_level = "warning".into();
@@ -95,8 +95,8 @@
     format!("{:>10.3} {:>10.3}", quantiles.p50, quantiles.p99)
 }
 
-/// Alternates calls to the engine and calls through the entry, half a period apart, so that both run
-/// under the same machine load.
+/// Alternates calls to the engine and calls through the entry, half a period apart, so that both
+/// run under the same machine load.
 async fn measure(cluster: &Cluster, rate: u32, seconds: f64) -> Result<OverheadRow> {
     let count = ((f64::from(rate) * seconds) as usize).max(MIN_REQUESTS);
     let warm_up = (count as f64 * WARM_UP).ceil() as usize;
--- a/crates/standin/tests/integration/answers.rs
+++ b/crates/standin/tests/integration/answers.rs
@@ -1,6 +1,7 @@
-//! Answers are whole, and of the adapter that was asked for, or they are errors.
+//! A caller gets a complete answer of the requested adapter or an error, never a wrong or truncated
+//! answer.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use eyre::{Result, ensure};
 use hyper::Method;
 use plantain_net::client::url;
@@ -16,12 +17,12 @@
     time::{sleep, timeout},
 };
 
-/// Tokens of an answer that takes seconds.
+/// Tokens of an answer that takes several seconds.
 const LONG_ANSWER: u32 = 2_000;
 
-/// The caller never sees the foreign answer. The engine names another adapter in its first answer;
-/// the agent checks every event before it passes it on, reports the request as failed, and the
-/// entry asks the other engine, which answers rightly.
+/// Guards against answers of another adapter that reach a caller. Each engine's next answer names
+/// another adapter; the agent checks every event before it forwards it. The caller must get status
+/// 502 with an unknown outcome and no content; later calls must succeed.
 #[tokio::test]
 async fn answer_of_another_adapter_is_never_delivered() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 2, &["kandy"])).await?;
@@ -38,35 +39,36 @@
         ensure!(!answer.text().contains("choices"), "{}", answer.text());
         cluster
             .wait_for("targets open again", async || {
-                Ok(ask(&cluster, 0, &call, "house-0001@2").await.is_ok())
+                Ok(send_and_check(&cluster, 0, &call, "house-0001@2").await.is_ok())
             })
             .await?;
     }
     finish(cluster).await
 }
 
-/// The caller of a whole answer sees it whole: the first engine breaks it off, nothing has been
-/// passed on yet, and the entry asks the other engine.
+/// Guards against truncated answers to calls that are not streamed. An engine aborts its answer
+/// before anything was forwarded; the caller must get status 502 or the complete answer, and later
+/// calls must succeed.
 #[tokio::test]
-async fn whole_answer_cut_short_is_asked_for_again() -> Result<()> {
+async fn truncated_answer_is_retried_or_an_error() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 2, &["kandy"])).await?;
     let faults = EngineFaults { cut_answers: 1, ..EngineFaults::default() };
     cluster.set(cluster.engine(0), "/standin/faults", &faults).await?;
     cluster.set(cluster.engine(1), "/standin/faults", &faults).await?;
-    // One engine cuts the first answer, the other the second one; later ones are whole.
+    // Each engine aborts only its first answer.
     let call = ChatCall::new("house-0001@2", "Open?", 5).without_streaming();
     let first = call.send(cluster.http(), cluster.entry(0)).await?;
     ensure!(first.status == 502 || call.check(&first, "house-0001@2").is_ok(), "{}", first.text());
     cluster
         .wait_for("whole answer", async || {
-            Ok(ask(&cluster, 0, &call, "house-0001@2").await.is_ok())
+            Ok(send_and_check(&cluster, 0, &call, "house-0001@2").await.is_ok())
         })
         .await?;
     finish(cluster).await
 }
 
-/// The caller of a stream that has begun sees an error event and a broken connection, never a short
-/// answer that looks whole: the engine breaks off after the first token.
+/// Guards against truncated streams that look complete. The engine aborts after the first token;
+/// the caller must get an error event, no end marker, and a broken connection.
 #[tokio::test]
 async fn stream_cut_short_ends_in_an_error() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
@@ -80,16 +82,17 @@
     finish(cluster).await
 }
 
-/// The caller goes away in the middle of a long stream. The entry resets its stream to the agent,
-/// the agent drops its call of the engine, and the engine's batch place is free again.
+/// Guards against engines that keep generating for a disconnected caller. When the caller
+/// disconnects during a stream, the entry resets its stream to the agent, and the agent cancels the
+/// engine call, which frees the batch slot.
 #[tokio::test]
-async fn caller_that_goes_away_frees_the_engine() -> Result<()> {
+async fn caller_disconnect_cancels_the_engine_call() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
     let call = ChatCall::new("house-0001", "All rules?", LONG_ANSWER);
     let sent = call.send(cluster.http(), cluster.entry(0));
-    let gone = timeout(Duration::from_millis(300), sent).await;
-    ensure!(gone.is_err(), "the answer was too short for this test");
+    let timed_out = timeout(Duration::from_millis(300), sent).await;
+    ensure!(timed_out.is_err(), "the answer was too short for this test");
     cluster
         .wait_for("sequence cancelled", async || {
             let records: EngineRecords =
@@ -100,25 +103,25 @@
     finish(cluster).await
 }
 
-/// What a caller has sent, and how long it stays.
-struct LeaveCase {
+/// What a caller sends before it disconnects, and how it disconnects.
+struct DisconnectCase {
     name: &'static str,
     is_streamed: bool,
-    /// What it sends behind its request.
-    ahead: &'static [u8],
-    /// Whether it resets its connection instead of closing it.
+    /// Bytes that it sends after its request on the same connection.
+    pipelined: &'static [u8],
+    /// Whether it resets the connection instead of closing it.
     is_reset: bool,
 }
 
-impl LeaveCase {
-    /// Sends a call and leaves once it is under way.
-    async fn leave(&self, entry: SocketAddr) -> Result<()> {
+impl DisconnectCase {
+    /// Sends a call and disconnects after 300 ms, while the call runs.
+    async fn disconnect(&self, entry: SocketAddr) -> Result<()> {
         let mut call = ChatCall::new("house-0001", "All rules?", LONG_ANSWER);
         call.streamed = self.is_streamed;
         let body = call.body().to_string();
         let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\n";
         let mut bytes = format!("{head}content-length: {}\r\n\r\n{body}", body.len()).into_bytes();
-        bytes.extend(self.ahead);
+        bytes.extend(self.pipelined);
         let mut caller = TcpStream::connect(entry).await?;
         caller.write_all(&bytes).await?;
         sleep(Duration::from_millis(300)).await;
@@ -129,14 +132,19 @@
     }
 }
 
+/// A pipelined request.
 const NEXT_REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: entry\r\n\r\n";
 
-/// Guards against an entry that does not see the end of a connection behind bytes which its caller has sent ahead: the
-/// engine works on for nobody.
+/// Guards against an entry that does not notice a disconnect because unread pipelined bytes precede
+/// the end of the connection: the engine would keep generating for nobody.
 #[tokio::test]
-async fn bytes_sent_ahead_do_not_hide_that_a_caller_has_left() -> Result<()> {
-    let case =
-        |name, is_streamed, ahead, is_reset| LeaveCase { name, is_streamed, ahead, is_reset };
+async fn pipelined_bytes_do_not_hide_a_disconnect() -> Result<()> {
+    let case = |name, is_streamed, pipelined, is_reset| DisconnectCase {
+        name,
+        is_streamed,
+        pipelined,
+        is_reset,
+    };
     let cases = [
         case("stream", true, &b""[..], false),
         case("stream, empty line behind it", true, b"\r\n", false),
@@ -147,9 +155,9 @@
         case("whole answer, next request behind it", false, NEXT_REQUEST, false),
     ];
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
     for (index, case) in cases.iter().enumerate() {
-        case.leave(cluster.entry(0)).await?;
+        case.disconnect(cluster.entry(0)).await?;
         cluster
             .wait_for(case.name, async || {
                 let records: EngineRecords =
@@ -161,17 +169,22 @@
     finish(cluster).await
 }
 
-/// Guards against requests that count as in flight for ever, and leave no line, because their callers left before an
-/// answer.
+/// Guards against requests that stay counted as in flight, and miss an outcome in the metrics,
+/// because their callers disconnected before an answer.
 #[tokio::test]
-async fn a_caller_that_leaves_is_counted_and_told() -> Result<()> {
+async fn a_caller_disconnect_is_counted() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
-    let case = LeaveCase { name: "whole answer", is_streamed: false, ahead: b"", is_reset: false };
-    case.leave(cluster.entry(0)).await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
+    let case = DisconnectCase {
+        name: "whole answer",
+        is_streamed: false,
+        pipelined: b"",
+        is_reset: false,
+    };
+    case.disconnect(cluster.entry(0)).await?;
     let page = url(cluster.entry_admin(0), "/metrics");
     cluster
-        .wait_for("the caller's leaving on the metrics page", async || {
+        .wait_for("disconnect on the metrics page", async || {
             let answer =
                 cluster.http().call(Method::GET, &page, "", Duration::from_secs(2)).await?;
             let text = answer.text();
--- a/crates/standin/tests/integration/crashes.rs
+++ b/crates/standin/tests/integration/crashes.rs
@@ -1,6 +1,6 @@
-//! A request that ends each engine which runs it.
+//! Quarantine of poison requests, which crash each engine that runs them.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use eyre::{Result, ensure};
 use plantain_standin::{
     call::ChatCall,
@@ -10,50 +10,53 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Engines that the request may end: three, and one more where a try that is under way has two.
-const CRASHES: usize = 4;
-/// Time in which all entries must know of a crash that one agent has seen; in it, engines stay down.
-const NEWS_TIME: Duration = Duration::from_secs(3);
-/// Time within which a caller must have the final answer to a request that is not to be run.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Most engines that the request may crash: three, plus one if a call in progress is retried after
+/// the second crash.
+const MAX_CRASHES: usize = 4;
+/// Time for all entries to learn of a crash that an agent has seen; engines stay down during it.
+const CRASH_REPORT_TIME: Duration = Duration::from_secs(3);
+/// Time within which a quarantined request must be refused.
+const REFUSAL_TIME: Duration = Duration::from_secs(1);
 
-/// Sends the request once at each entry; returns how many engines it ended. They are up again after it.
+/// Sends the request once through each entry, restarts the engines that it crashed, and returns
+/// their number.
 async fn crash_engines(cluster: &mut Cluster, call: &ChatCall) -> Result<usize> {
     let mut crashes = 0;
     for entry in 0..2 {
         let answer = call.send(cluster.http(), cluster.entry(entry)).await?;
         ensure!(answer.status != 200 || answer.broken.is_some(), "served: {}", answer.text());
-        sleep(NEWS_TIME).await;
+        sleep(CRASH_REPORT_TIME).await;
         crashes += cluster.restart_crashed_engines()?;
     }
     Ok(crashes)
 }
 
-/// A caller sends the same prompt again and again, through any entry; each engine that begins to run it
-/// ends, and with it all that it had in flight. Each agent sees one crash, and each entry a few offers that
-/// broke off. After the third crash no engine gets it any more, and its caller is told so at once.
+/// Guards against a poison request that crashes one engine after another and aborts all their
+/// calls. The same prompt is sent repeatedly through both entries; each agent sees one crash, and
+/// each entry a few aborted offers. After the third crash the request must reach no engine and be
+/// refused at once.
 #[tokio::test]
-async fn a_request_that_ends_engines_is_held_back() -> Result<()> {
+async fn a_request_that_crashes_engines_is_quarantined() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 6, &["kandy"])).await?;
     let call = ChatCall::new("house-0001@2", FATAL_PROMPT, 5);
     let mut crashes = 0;
     for _ in 0..4 {
         crashes += crash_engines(&mut cluster, &call).await?;
-        ensure!(crashes <= CRASHES, "{crashes} engines ended");
+        ensure!(crashes <= MAX_CRASHES, "{crashes} engines crashed");
     }
-    ensure!(crashes >= 3, "only {crashes} engines ended");
+    ensure!(crashes >= 3, "only {crashes} engines crashed");
     for entry in 0..2 {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = call.send(cluster.http(), cluster.entry(entry)).await?;
         ensure!(answer.status == 503, "{}", answer.text());
         ensure!(answer.error()["outcome"] == "not_run", "{}", answer.text());
         ensure!(answer.header("retry-after").is_some(), "{:?}", answer.headers);
-        ensure!(asked.elapsed() < AT_ONCE, "told after {:?}", asked.elapsed());
+        ensure!(sent_at.elapsed() < REFUSAL_TIME, "refused after {:?}", sent_at.elapsed());
     }
-    let innocent = ChatCall::new("house-0001@2", "Is the east gate open?", 5);
+    let harmless = ChatCall::new("house-0001@2", "Is the east gate open?", 5);
     cluster
-        .wait_for("an innocent prompt to be answered", async || {
-            Ok(ask(&cluster, 0, &innocent, "house-0001@2").await.is_ok())
+        .wait_for("answer to a harmless prompt", async || {
+            Ok(send_and_check(&cluster, 0, &harmless, "house-0001@2").await.is_ok())
         })
         .await?;
     finish(cluster).await
--- a/crates/standin/tests/integration/idempotency.rs
+++ b/crates/standin/tests/integration/idempotency.rs
@@ -1,6 +1,7 @@
-//! A keyed call that may not be repeated runs at most once, whoever asks again and wherever.
+//! A service call with an idempotency key runs at most once, however often and at whichever entry
+//! it is retried.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use bytes::Bytes;
 use eyre::{Result, ensure};
 use http_body_util::Full;
@@ -15,9 +16,10 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of a call.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Sends a stamp through an entry, with an idempotency key if one is given.
 async fn stamp(cluster: &Cluster, entry: usize, key: Option<&str>) -> Result<HttpAnswer> {
     let mut request = Request::builder()
         .method(Method::POST)
@@ -26,23 +28,25 @@
         request = request.header("idempotency-key", key);
     }
     let request = request.body(Full::new(Bytes::from_static(b"gate 7")))?;
-    cluster.http().fetch(request, ANSWER_LIMIT).await
+    cluster.http().fetch(request, ANSWER_TIMEOUT).await
 }
 
+/// Number of calls that the service has executed.
 async fn executed(cluster: &Cluster) -> Result<usize> {
     let calls: Vec<CallRecord> = cluster.page(cluster.service(0), "/standin/calls").await?;
     Ok(calls.len())
 }
 
+/// The `error` object of an answer.
 fn error(answer: &HttpAnswer) -> Result<Value> {
     let value: Value = answer.json()?;
     Ok(value["error"].clone())
 }
 
-/// The caller loses patience and asks again with the same key. At the same entry it gets the first
-/// answer once more; at another entry it is told who has the request. The stamp runs once.
+/// Guards against retries with the same key that run a stamp again. At the same entry a retry must
+/// get the first answer; at another entry it must get status 409 that names the first entry.
 #[tokio::test]
-async fn retries_of_a_stamp_are_the_same_request() -> Result<()> {
+async fn retries_with_one_key_run_a_stamp_once() -> Result<()> {
     let mut plan = ClusterPlan::new(2, 1, &["kandy"]);
     plan.call_ms = 300;
     let cluster = start(plan).await?;
@@ -58,19 +62,23 @@
     ensure!(first.status == 200 && second.status == 200, "{} {}", first.status, second.status);
     ensure!(first.body == second.body, "the retry got another answer");
     ensure!(other.status == 409, "{} {}", other.status, other.text());
-    let told = error(&other)?;
-    ensure!(told["type"] == "key_taken" && told["outcome"] == "unknown", "{told}");
-    ensure!(told["message"].as_str().unwrap_or("").contains("entry-0"), "{told}");
+    let conflict = error(&other)?;
+    ensure!(conflict["type"] == "key_taken" && conflict["outcome"] == "unknown", "{conflict}");
+    ensure!(conflict["message"].as_str().unwrap_or("").contains("entry-0"), "{conflict}");
     let later = stamp(&cluster, 0, Some("stamp-1")).await?;
     ensure!(later.status == 200 && later.body == first.body, "{}", later.status);
     ensure!(executed(&cluster).await? == 1, "executed twice");
     let next = stamp(&cluster, 1, Some("stamp-2")).await?;
-    ensure!(next.status == 200 && executed(&cluster).await? == 2, "another key is another stamp");
+    ensure!(
+        next.status == 200 && executed(&cluster).await? == 2,
+        "a stamp with another key did not run"
+    );
     finish(cluster).await
 }
 
-/// Callers race with the same key through two entries while both write the same shard. The
-/// platform's version check lets one record in; the other sees it when it reads again.
+/// Guards against double execution when two entries get the same key at once. Both write the same
+/// shard of key records; the platform's version check accepts one, and the other entry finds that
+/// record when it reads again.
 #[tokio::test]
 async fn racing_entries_run_a_stamp_once() -> Result<()> {
     let cluster = start(ClusterPlan::new(2, 1, &["kandy"])).await?;
@@ -85,10 +93,10 @@
     finish(cluster).await
 }
 
-/// The caller sees its answer. The record's write takes effect but its answer is lost; the entry
-/// reads the shard back, finds its own record, and runs the stamp once.
+/// Guards against stamps that fail or run twice when the platform's answer to the write of the key
+/// record is lost. The entry must read the shard back, find its own record and run the stamp once.
 #[tokio::test]
-async fn lost_answer_of_a_record_is_settled() -> Result<()> {
+async fn key_record_with_a_lost_answer_is_read_back() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     let faults = PlatformFaults { lose_answers: 1, ..PlatformFaults::default() };
     cluster.set(cluster.platform(), "/standin/faults", &faults).await?;
@@ -98,25 +106,26 @@
     finish(cluster).await
 }
 
-/// While the platform is out, the caller of a keyed stamp is told at once that it was not run and
-/// when to come back. Completions, loads, and stamps without a key (which nobody can ask for again
-/// as the same) go on. When the platform is back, so are keyed stamps.
+/// Guards against outages of the platform that affect more than calls with a key. Stamps with a key
+/// must be refused at once as not run, with `retry-after`; completions, loads and stamps without a
+/// key (which cannot be retried as the same call) must run. Stamps with a key must work again
+/// afterwards.
 #[tokio::test]
-async fn outage_stops_keyed_stamps_only() -> Result<()> {
+async fn outage_refuses_only_stamps_with_a_key() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     let down = PlatformFaults { down: true, ..PlatformFaults::default() };
     cluster.set(cluster.platform(), "/standin/faults", &down).await?;
     for _ in 0..3 {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = stamp(&cluster, 0, Some("stamp-1")).await?;
-        let told = error(&answer)?;
-        ensure!(answer.status == 503 && told["type"] == "keys_unavailable", "{told}");
-        ensure!(told["outcome"] == "not_run", "{told}");
+        let refusal = error(&answer)?;
+        ensure!(answer.status == 503 && refusal["type"] == "keys_unavailable", "{refusal}");
+        ensure!(refusal["outcome"] == "not_run", "{refusal}");
         ensure!(answer.headers.contains_key("retry-after"), "{:?}", answer.headers);
-        ensure!(asked.elapsed() < Duration::from_secs(5), "held back");
+        ensure!(sent_at.elapsed() < Duration::from_secs(5), "refused too late");
     }
-    ensure!(executed(&cluster).await? == 0, "told not run, but ran");
-    ask(&cluster, 0, &ChatCall::new("house-0007@3", "Open?", 3), "house-0007@3").await?;
+    ensure!(executed(&cluster).await? == 0, "reported as not run, but ran");
+    send_and_check(&cluster, 0, &ChatCall::new("house-0007@3", "Open?", 3), "house-0007@3").await?;
     let keyless = stamp(&cluster, 0, None).await?;
     ensure!(keyless.status == 200 && executed(&cluster).await? == 1, "{}", keyless.status);
     cluster.set(cluster.platform(), "/standin/faults", &PlatformFaults::default()).await?;
@@ -129,8 +138,8 @@
     finish(cluster).await
 }
 
-/// The caller is told that its stamp was not run, because no target took it. Its record is given
-/// back, so that asking again with the same key, even elsewhere, runs it.
+/// Guards against a key that stays taken by a stamp that did not run. No target accepts the stamp,
+/// so the entry must remove the key's record; a retry with the key through another entry must run.
 #[tokio::test]
 async fn record_of_a_stamp_that_was_not_run_is_removed() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 1, &["kandy"])).await?;
--- a/crates/standin/tests/integration/import.rs
+++ b/crates/standin/tests/integration/import.rs
@@ -1,4 +1,4 @@
-//! Operators' files, large and wrong.
+//! Import of adapter files: a large one and invalid ones.
 
 use crate::support::finish;
 use eyre::{Result, ensure};
@@ -8,8 +8,9 @@
 };
 use std::fmt::Write;
 
+/// Number of imported adapters.
 const ADAPTERS: usize = 3_000;
-/// Requests to every so many adapters: 50 of them, rare ones included.
+/// A request is sent to every adapter whose index is a multiple of this: 50 in all.
 const STEP: usize = 60;
 
 #[tokio::test]
@@ -36,9 +37,10 @@
     finish(cluster).await
 }
 
+/// A second line that makes a file invalid, and the text that the error must contain.
 struct BadFile {
     text: &'static str,
-    says: &'static str,
+    expected_error: &'static str,
 }
 
 #[tokio::test]
@@ -46,17 +48,17 @@
     let cluster = Cluster::start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     let good = r#"{"name":"a","base":"scribe","versions":[1],"current":1}"#;
     let cases = [
-        BadFile { text: "{", says: "line 2" },
-        BadFile { text: r#"{"name":"b","base":"scribe","current":1}"#, says: "versions" },
+        BadFile { text: "{", expected_error: "line 2" },
+        BadFile { text: r#"{"name":"b","base":"scribe","current":1}"#, expected_error: "versions" },
         BadFile {
             text: r#"{"name":"b c","base":"scribe","versions":[1],"current":1}"#,
-            says: "adapter name",
+            expected_error: "adapter name",
         },
         BadFile {
             text: r#"{"name":"b","base":"scribe","versions":[1],"current":2}"#,
-            says: "current",
+            expected_error: "current",
         },
-        BadFile { text: good, says: "listed twice" },
+        BadFile { text: good, expected_error: "listed twice" },
     ];
     for case in cases {
         let file = cluster.directory().join("bad.jsonl");
@@ -64,9 +66,13 @@
         let output = cluster.control(&["adapter", "import", &file.to_string_lossy()]).await?;
         let error = String::from_utf8_lossy(&output.stderr);
         ensure!(output.status.code() == Some(2), "{}: {:?}", case.text, output.status);
-        ensure!(error.contains("line 2") && error.contains(case.says), "{}: {error}", case.text);
+        ensure!(
+            error.contains("line 2") && error.contains(case.expected_error),
+            "{}: {error}",
+            case.text
+        );
     }
     let list = cluster.control_ok(&["--json", "adapter", "list"]).await?;
-    ensure!(list.trim() == "[]", "a bad file left something behind: {list}");
+    ensure!(list.trim() == "[]", "an invalid file changed the configuration: {list}");
     finish(cluster).await
 }
--- a/crates/standin/tests/integration/main.rs
+++ b/crates/standin/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole system: real processes, talking over loopback.
+//! Integration tests of the complete system: a test cluster of real processes on loopback.
 
 mod answers;
 mod crashes;
--- a/crates/standin/tests/integration/operators.rs
+++ b/crates/standin/tests/integration/operators.rs
@@ -1,6 +1,6 @@
-//! Operators race each other, lose answers, and meet outages of the platform.
+//! Configuration changes: concurrent operators, lost answers and outages of the platform.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use eyre::{Result, ensure};
 use plantain_standin::{
     call::ChatCall,
@@ -9,17 +9,20 @@
 };
 use serde_json::Value;
 
-async fn set(cluster: &Cluster, faults: PlatformFaults) -> Result<()> {
+/// Sets the faults of the platform.
+async fn set_platform_faults(cluster: &Cluster, faults: PlatformFaults) -> Result<()> {
     cluster.set(cluster.platform(), "/standin/faults", &faults).await
 }
 
-/// One operator's change is accepted, the other is told who won and what differs. Both have read the
-/// same root when the platform, slowed down, takes their updates; its version check lets one in.
+/// Guards against lost updates. Two operators read the same root object, delayed by a slow
+/// platform, and both update it. The version check accepts one; the other operator must get an
+/// error that names the winner and its change.
 #[tokio::test]
-async fn race_of_two_operators_has_one_winner_who_is_named() -> Result<()> {
+async fn concurrent_changes_have_one_winner_that_the_error_names() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     cluster.control_ok(&["preset", "put", "peak"]).await?;
-    set(&cluster, PlatformFaults { delay_ms: 100, ..PlatformFaults::default() }).await?;
+    set_platform_faults(&cluster, PlatformFaults { delay_ms: 100, ..PlatformFaults::default() })
+        .await?;
     let asha = ["--author", "asha", "preset", "switch", "peak"];
     let script = ["--author", "script", "adapter", "retire", "house-0019"];
     let (one, two) = tokio::join!(cluster.control(&asha), cluster.control(&script));
@@ -34,54 +37,57 @@
         ("script", "adapter house-0019: removed")
     };
     ensure!(loser.contains(winner) && loser.contains(change), "{loser}");
-    set(&cluster, PlatformFaults::default()).await?;
+    set_platform_faults(&cluster, PlatformFaults::default()).await?;
     let shown: Value = serde_json::from_str(&cluster.control_ok(&["--json", "status"]).await?)?;
     ensure!(shown["author"] == winner, "{shown}");
     finish(cluster).await
 }
 
-/// The operator's change is made, once, although the platform's answer to the root's update is lost:
-/// the tool finds its own operation by reading back and does not write again.
+/// Guards against changes that are reported as failed, or made twice, when the platform's answers
+/// to the writes are lost: the tool reads the objects back and recognises its own operation.
 #[tokio::test]
-async fn lost_answer_of_a_change_is_settled() -> Result<()> {
+async fn change_with_a_lost_answer_is_read_back() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    // The part's write and the root's write both lose their answers.
-    set(&cluster, PlatformFaults { lose_answers: 2, ..PlatformFaults::default() }).await?;
-    let told = cluster.control_ok(&["adapter", "roll-out", "house-0004", "3"]).await?;
-    ensure!(told.contains("revision 3") && told.contains("reading back"), "{told}");
+    // Loses the answers to the writes of the changed part and of the root.
+    set_platform_faults(&cluster, PlatformFaults { lose_answers: 2, ..PlatformFaults::default() })
+        .await?;
+    let output = cluster.control_ok(&["adapter", "roll-out", "house-0004", "3"]).await?;
+    ensure!(output.contains("revision 3") && output.contains("reading back"), "{output}");
     cluster.wait_revision(3).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@3").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@3").await?;
     let shown: Value = serde_json::from_str(&cluster.control_ok(&["--json", "status"]).await?)?;
     ensure!(shown["revision"] == 3, "{shown}");
     finish(cluster).await
 }
 
-/// Callers see right answers all through an outage of the platform: resident adapters, adapters that
-/// must be loaded, and evictions. The operator's change fails and says that it was not made. After
-/// the outage the configuration is what it was before, and changes work again.
+/// Guards against calls that depend on the platform. During an outage, calls to resident adapters,
+/// loads and evictions must work, and a configuration change must fail with exit status 1. After
+/// the outage changes must work again.
 #[tokio::test]
-async fn requests_loads_and_evictions_go_on_through_an_outage() -> Result<()> {
+async fn requests_loads_and_evictions_work_during_an_outage() -> Result<()> {
     let mut plan = ClusterPlan::new(2, 1, &["kandy"]);
     plan.slots = 2;
     let cluster = start(plan).await?;
-    set(&cluster, PlatformFaults { down: true, ..PlatformFaults::default() }).await?;
+    set_platform_faults(&cluster, PlatformFaults { down: true, ..PlatformFaults::default() })
+        .await?;
     for round in 0..6 {
         let model = format!("house-{round:04}@2");
-        ask(&cluster, round % 2, &ChatCall::new(&model, "Open?", 3), &model).await?;
+        send_and_check(&cluster, round % 2, &ChatCall::new(&model, "Open?", 3), &model).await?;
     }
     let output = cluster.control(&["adapter", "roll-out", "house-0004", "3"]).await?;
     ensure!(output.status.code() == Some(1), "{:?}", output.status);
     let error = String::from_utf8_lossy(&output.stderr);
     ensure!(error.contains("not changed") || error.contains("platform"), "{error}");
-    set(&cluster, PlatformFaults::default()).await?;
+    set_platform_faults(&cluster, PlatformFaults::default()).await?;
     cluster.control_ok(&["--wait", "30", "adapter", "roll-out", "house-0004", "2"]).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@2").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@2").await?;
     finish(cluster).await
 }
 
-/// The operator who waits for a change is told which process does not have it: an agent is frozen.
+/// Guards against `--wait` hiding a process that has not applied the change. One agent is frozen;
+/// the command must time out with exit status 4 and name only that agent's host.
 #[tokio::test]
-async fn waiting_operator_is_told_who_is_behind() -> Result<()> {
+async fn wait_names_the_process_without_the_change() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 2, &["kandy"])).await?;
     cluster.signal("agent-engine-1", nix::sys::signal::Signal::SIGSTOP)?;
     let output =
@@ -94,14 +100,15 @@
     finish(cluster).await
 }
 
-/// Callers are served by an entry that was killed and started again in the middle of an outage. It
-/// cannot read the configuration, so it asks its peers and takes the highest revision that any of
-/// them has; it is not ready before that, and never shows an older one than before.
+/// Guards against an entry that is unavailable, or reverts to an old configuration, when it
+/// restarts during an outage of the platform. It must fetch the configuration from its peers, take
+/// the highest revision among them, and become ready only then.
 #[tokio::test]
-async fn entry_restarted_in_an_outage_joins_from_its_peers() -> Result<()> {
+async fn entry_restarted_in_an_outage_gets_its_configuration_from_peers() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(3, 1, &["kandy", "nuwara", "hatton"])).await?;
     cluster.control_ok(&["--wait", "30", "adapter", "roll-out", "house-0004", "3"]).await?;
-    set(&cluster, PlatformFaults { down: true, ..PlatformFaults::default() }).await?;
+    set_platform_faults(&cluster, PlatformFaults { down: true, ..PlatformFaults::default() })
+        .await?;
     cluster.kill("entry-0").await?;
     cluster.start_entry(0)?;
     cluster
@@ -111,9 +118,9 @@
             Ok(status["ready"] == true)
         })
         .await?;
-    ask(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@3").await?;
-    set(&cluster, PlatformFaults::default()).await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@3").await?;
+    set_platform_faults(&cluster, PlatformFaults::default()).await?;
     cluster.control_ok(&["--wait", "30", "adapter", "roll-out", "house-0004", "2"]).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@2").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0004", "Open?", 3), "house-0004@2").await?;
     finish(cluster).await
 }
--- a/crates/standin/tests/integration/report.rs
+++ b/crates/standin/tests/integration/report.rs
@@ -1,6 +1,6 @@
-//! What operators are shown.
+//! Metrics pages and the `plantainctl report` command.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use eyre::{Result, ensure};
 use hyper::Method;
 use plantain_net::client::url;
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Metrics that must be there once requests have run.
+/// Metrics that must be exported after a request.
 const METRICS: [&str; 6] = [
     "plantain_load_stall_seconds_bucket",
     "plantain_requests_total",
@@ -21,7 +21,7 @@
 #[tokio::test]
 async fn metrics_show_load_stall_and_batch_efficiency() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0001", "Open?", 3), "house-0001@1").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0001", "Open?", 3), "house-0001@1").await?;
     let mut text = String::new();
     for admin in [cluster.entry_admin(0), cluster.engine_agent_admin(0)] {
         let page = url(admin, "/metrics");
@@ -34,13 +34,15 @@
     finish(cluster).await
 }
 
-/// The operator sees which class burns its budget, for what, and which entry could not be asked.
+/// The report must show the error budget burn per priority class, the adapters that cause it, and
+/// the processes that did not answer. One request succeeds, one misses its deadline, and one entry
+/// is killed.
 #[tokio::test]
-async fn report_shows_burn_and_what_it_could_not_reach() -> Result<()> {
+async fn report_shows_burn_and_unreachable_processes() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 1, &["kandy"])).await?;
     let call = ChatCall::new("house-0001", "Open?", 2).with_header("x-plantain-priority", "upper");
-    ask(&cluster, 0, &call, "house-0001@1").await?;
-    // Not resident, and its load cannot end in a millisecond.
+    send_and_check(&cluster, 0, &call, "house-0001@1").await?;
+    // The adapter is not resident, and its load takes longer than the deadline of 1 ms.
     let late = ChatCall::new("house-0002", "Open?", 2)
         .with_header("x-plantain-priority", "upper")
         .with_header("x-plantain-deadline-ms", "1");
--- a/crates/standin/tests/integration/services.rs
+++ b/crates/standin/tests/integration/services.rs
@@ -1,4 +1,4 @@
-//! Plain services beside the engines, some of whose calls may not be repeated.
+//! Calls of plain services, including calls that must run at most once.
 
 use crate::support::{finish, start};
 use bytes::Bytes;
@@ -14,9 +14,10 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of a call.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Sends a call with the idempotency key `stamp-1` through entry 0.
 async fn call(
     cluster: &Cluster,
     method: Method,
@@ -29,9 +30,10 @@
         .header("x-echo", "kept")
         .header("idempotency-key", "stamp-1")
         .body(Full::new(Bytes::from_static(body.as_bytes())))?;
-    cluster.http().fetch(request, ANSWER_LIMIT).await
+    cluster.http().fetch(request, ANSWER_TIMEOUT).await
 }
 
+/// Calls that the service has executed.
 async fn executed(cluster: &Cluster) -> Result<Vec<CallRecord>> {
     cluster.page(cluster.service(0), "/standin/calls").await
 }
@@ -48,9 +50,9 @@
     finish(cluster).await
 }
 
-/// The caller sees `outcome: unknown`. Its stamp has reached the service when the link to the agent
-/// is cut, so the answer cannot come back; asking another target, or asking again, could void the
-/// passport. The service must have executed the stamp exactly once.
+/// Guards against a stamp that runs twice. The link to the agent is cut after the stamp reached the
+/// service, so the answer is lost; a retry could void the passport. The caller must get
+/// `outcome: unknown`, and the service must have executed the stamp once.
 #[tokio::test]
 async fn stamp_is_not_repeated_when_its_answer_is_lost() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
@@ -74,15 +76,15 @@
     finish(cluster).await
 }
 
-/// The caller sees `outcome: not_run`. The agent reserves a place for the stamp, but its word does
-/// not come through, so the entry never releases the stamp to the service. When the link is whole
-/// again the reservation must not turn into a late execution.
+/// Guards against a late execution of a stamp that was reported as not run. The agent accepts the
+/// entry's offer, but its reply is lost, so the entry never releases the stamp to the service. The
+/// caller must get `outcome: not_run`, and the stamp must not run when the link works again.
 #[tokio::test]
 async fn stamp_that_was_only_reserved_is_never_run() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
     plan.link_proxies = true;
     let cluster = start(plan).await?;
-    // Opens the connection, so that only the offer's answer is lost and not the handshake.
+    // Opens the link first, so that the reply to the offer is lost and not the handshake.
     let answer = call(&cluster, Method::GET, "/services/desk/slots", "").await?;
     ensure!(answer.status == 200, "{}", answer.status);
     let stalled = DirectionFaults { stall: true, ..DirectionFaults::default() };
@@ -103,30 +105,34 @@
     finish(cluster).await
 }
 
-/// Guards against a plain service that asks for no requests for a time and goes on getting them, and against callers that
-/// are not told when to come back.
+/// Guards against calls that reach a service during the backoff it requested with `Retry-After`,
+/// and against refusals that do not tell callers when to retry.
 #[tokio::test]
-async fn a_service_that_asks_for_rest_is_left_alone() -> Result<()> {
+async fn a_service_that_requests_a_backoff_gets_no_calls() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     let faults = ServiceFaults { rest: Some("2".to_owned()), ..ServiceFaults::default() };
     cluster.set(cluster.service(0), "/standin/faults", &faults).await?;
-    let turned_away = call(&cluster, Method::GET, "/services/desk/slots", "").await?;
-    let told = Instant::now();
-    ensure!(turned_away.status == 503, "{}", turned_away.status);
+    let refused = call(&cluster, Method::GET, "/services/desk/slots", "").await?;
+    let refused_at = Instant::now();
+    ensure!(refused.status == 503, "{}", refused.status);
     for _ in 0..10 {
         let answer = call(&cluster, Method::GET, "/services/desk/slots", "").await?;
-        // The agent refuses the first, and the entry asks it no more until it may take one.
-        let is_promise = answer.status == 503 || answer.status == 429;
-        ensure!(is_promise && answer.text().contains("not_run"), "{}", answer.text());
+        // The agent refuses the first call; the entry then offers it none until the backoff ends.
+        let is_refusal = answer.status == 503 || answer.status == 429;
+        ensure!(is_refusal && answer.text().contains("not_run"), "{}", answer.text());
         let pause = answer.headers.get("retry-after-ms").and_then(|text| text.to_str().ok());
         let pause: u64 = pause.unwrap_or_default().parse()?;
-        ensure!(pause > 500, "told to come back after {pause} ms of a rest of 2 s");
+        ensure!(pause > 500, "retry-after of {pause} ms in a backoff of 2 s");
     }
-    ensure!(told.elapsed() < Duration::from_secs(1), "refused after {:?}", told.elapsed());
+    ensure!(
+        refused_at.elapsed() < Duration::from_secs(1),
+        "refused after {:?}",
+        refused_at.elapsed()
+    );
     ensure!(executed(&cluster).await?.len() == 1, "{:?}", executed(&cluster).await?);
     cluster.set(cluster.service(0), "/standin/faults", &ServiceFaults::default()).await?;
     cluster
-        .wait_for("the end of the rest", async || {
+        .wait_for("end of the backoff", async || {
             Ok(call(&cluster, Method::GET, "/services/desk/slots", "").await?.status == 200)
         })
         .await?;
--- a/crates/standin/tests/integration/stopping.rs
+++ b/crates/standin/tests/integration/stopping.rs
@@ -1,6 +1,6 @@
-//! Planned stops cut off nothing.
+//! Graceful stops of entries and agents complete the calls in flight.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use eyre::{Result, ensure};
 use hyper::Method;
 use nix::sys::signal::Signal;
@@ -13,11 +13,12 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::{sync::watch, task::JoinSet};
 
-/// Longest wait for an entry to say whether it is ready.
-const READY_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a readiness check.
+const READY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Tokens of an answer that takes about two seconds.
 const LONG_ANSWER: u32 = 400;
 
+/// Waits until one request runs on engine 0.
 async fn wait_running(cluster: &Cluster) -> Result<()> {
     cluster
         .wait_for("request runs", async || {
@@ -27,15 +28,16 @@
         .await
 }
 
-/// The caller sees its whole answer. Its stream is in the middle when the entry is told to stop;
-/// the entry turns unready, takes no further connection, ends the stream and only then exits.
+/// Guards against streams that are cut when their entry stops. An entry gets SIGTERM in the middle
+/// of a stream: it becomes unready, accepts no new connections, completes the stream and then
+/// exits.
 #[tokio::test]
 async fn stopping_entry_completes_its_streams() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 1, &["kandy"])).await?;
     let call = ChatCall::new("house-0001@2", "All rules of hall 3?", LONG_ANSWER);
     let (http, entry) = (cluster.http().clone(), cluster.entry(0));
-    let asked = call.clone();
-    let stream = tokio::spawn(async move { asked.send(&http, entry).await });
+    let sent_call = call.clone();
+    let stream = tokio::spawn(async move { sent_call.send(&http, entry).await });
     wait_running(&cluster).await?;
     cluster.signal("entry-0", Signal::SIGTERM)?;
     cluster
@@ -44,15 +46,15 @@
             Ok(ready.map_or(true, |status| status["ready"] == false))
         })
         .await?;
-    ask(&cluster, 1, &ChatCall::new("house-0002", "Open?", 2), "house-0002@1").await?;
+    send_and_check(&cluster, 1, &ChatCall::new("house-0002", "Open?", 2), "house-0002@1").await?;
     call.check(&stream.await??, "house-0001@2")?;
-    ensure!(cluster.stop("entry-0").await?, "the entry did not end in order");
+    ensure!(cluster.stop("entry-0").await?, "the entry did not exit with status 0");
     finish(cluster).await
 }
 
-/// Two callers see whole answers. One's stream runs on the engine whose agent is told to stop; the
-/// agent ends it before it exits. The other asks after that and must be served by the other engine,
-/// although the platform's list does not yet show the first as leaving.
+/// Guards against calls that fail when an agent stops. The agent gets SIGTERM while a stream runs
+/// on its engine, and must complete the stream before it exits. Later calls must go to the other
+/// engine, although the platform's delayed host list does not show the first host as leaving yet.
 #[tokio::test]
 async fn stopping_agent_completes_its_work_and_takes_no_more() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 2, &["kandy"]);
@@ -60,8 +62,8 @@
     let mut cluster = start(plan).await?;
     let call = ChatCall::new("house-0001@2", "All rules of hall 3?", LONG_ANSWER);
     let (http, entry) = (cluster.http().clone(), cluster.entry(0));
-    let asked = call.clone();
-    let stream = tokio::spawn(async move { asked.send(&http, entry).await });
+    let sent_call = call.clone();
+    let stream = tokio::spawn(async move { sent_call.send(&http, entry).await });
     let busy = busy_engine(&cluster).await?;
     let agent = format!("agent-engine-{busy}");
     cluster.signal(&agent, Signal::SIGTERM)?;
@@ -74,15 +76,16 @@
         .await?;
     for _ in 0..4 {
         let next = ChatCall::new("house-0001@2", "Open?", 2);
-        let answer = ask(&cluster, 0, &next, "house-0001@2").await?;
+        let answer = send_and_check(&cluster, 0, &next, "house-0001@2").await?;
         let target = format!("scribe-{}", 1 - busy);
         ensure!(answer.header("x-plantain-target") == Some(target.as_str()), "{answer:?}");
     }
     call.check(&stream.await??, "house-0001@2")?;
-    ensure!(cluster.stop(&agent).await?, "the agent did not end in order");
+    ensure!(cluster.stop(&agent).await?, "the agent did not exit with status 0");
     finish(cluster).await
 }
 
+/// Waits until one of two engines runs a request and returns its index.
 async fn busy_engine(cluster: &Cluster) -> Result<usize> {
     let running = async |index: usize| {
         let admin = cluster.engine_agent_admin(index);
@@ -93,8 +96,9 @@
     Ok(usize::from(running(1).await?))
 }
 
-/// Every caller sees whole answers while each process of the system is restarted in turn: entries
-/// turn unready before they close, agents refuse before they leave, and both end what they hold.
+/// Guards against requests lost in a rolling restart. Six callers send requests while entries and
+/// engines' agents are restarted one by one. Entries become unready before they close, agents
+/// refuse new calls before they exit, and both complete the calls in flight.
 #[tokio::test]
 async fn rolling_restart_under_load_loses_no_request() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 2, &["kandy"])).await?;
@@ -102,15 +106,18 @@
     let entries: Vec<SocketAddr> = (0..2).map(|index| cluster.entry(index)).collect();
     let mut callers = JoinSet::new();
     for caller in 0..6 {
-        callers.spawn(ask_all_along(entries.clone(), caller, stopping.clone()));
+        callers.spawn(send_until_stopped(entries.clone(), caller, stopping.clone()));
     }
     for index in 0..2 {
-        ensure!(cluster.stop(&format!("entry-{index}")).await?, "entry {index} not in order");
+        ensure!(
+            cluster.stop(&format!("entry-{index}")).await?,
+            "entry {index} did not exit with status 0"
+        );
         cluster.start_entry(index)?;
         cluster.wait_ready().await?;
         ensure!(
             cluster.stop(&format!("agent-engine-{index}")).await?,
-            "agent {index} not in order"
+            "agent {index} did not exit with status 0"
         );
         cluster.start_engine_agent(index)?;
         cluster.wait_ready().await?;
@@ -120,12 +127,13 @@
     while let Some(count) = callers.join_next().await {
         answered += count??;
     }
-    ensure!(answered > 50, "only {answered} requests were asked");
+    ensure!(answered > 50, "only {answered} requests were sent");
     finish(cluster).await
 }
 
-/// Asks one request after another of entries that say they are ready, as the balancer does.
-async fn ask_all_along(
+/// Sends requests one after another, only to entries that report ready, as a load balancer does.
+/// Returns the number of rounds, including those that found an entry unready.
+async fn send_until_stopped(
     entries: Vec<SocketAddr>,
     caller: usize,
     stopping: watch::Receiver<bool>,
@@ -133,9 +141,10 @@
     let mut answered = 0;
     while !*stopping.borrow() {
         let entry = entries[(answered + caller) % entries.len()];
-        // A new client each time: connections that the entry is about to close are not its matter.
+        // A new client per request, so that no kept-alive connection is used which the entry
+        // closes.
         let http = HttpClient::new();
-        let ready = http.call(Method::GET, &url(entry, "/readyz"), "", READY_LIMIT).await;
+        let ready = http.call(Method::GET, &url(entry, "/readyz"), "", READY_TIMEOUT).await;
         if ready.is_ok_and(|ready| ready.status == 200) {
             let model = format!("house-{:04}@2", answered % 5);
             let mut call = ChatCall::new(&model, "Open?", 20);
--- a/crates/standin/tests/integration/support.rs
+++ b/crates/standin/tests/integration/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the whole system share.
+//! Helpers shared by the integration tests.
 
 use eyre::{Result, ensure};
 use plantain_standin::{
@@ -6,8 +6,8 @@
     cluster::{Cluster, plan::ClusterPlan},
 };
 
-/// Starts a system with `house-0000` to `house-0019`, versions 1 to 3, of base `scribe`, and the
-/// service `desk` whose stamps may not be repeated.
+/// Starts a cluster with the adapters `house-0000` to `house-0019` (base `scribe`, versions 1 to 3,
+/// current version 1) and the service `desk`, whose stamps (`POST /stamps`) run at most once.
 pub async fn start(plan: ClusterPlan) -> Result<Cluster> {
     let cluster = Cluster::start(plan).await?;
     let lines: Vec<String> = (0..20)
@@ -25,8 +25,8 @@
     Ok(cluster)
 }
 
-/// Sends a call through an entry and checks every byte of its answer.
-pub async fn ask(
+/// Sends a call through an entry and checks that the answer is complete and comes from `model`.
+pub async fn send_and_check(
     cluster: &Cluster,
     entry: usize,
     call: &ChatCall,
@@ -37,8 +37,8 @@
     Ok(answer)
 }
 
-/// Stops the system and checks that each process ended in order.
+/// Stops the cluster and checks that each process exits with status 0.
 pub async fn finish(cluster: Cluster) -> Result<()> {
-    ensure!(cluster.shut_down().await?, "a process did not stop in order");
+    ensure!(cluster.shut_down().await?, "a process did not stop with exit status 0");
     Ok(())
 }
--- a/crates/standin/tests/integration/targets.rs
+++ b/crates/standin/tests/integration/targets.rs
@@ -1,6 +1,6 @@
-//! Targets that fail, restart or are not what they seem.
+//! Failures of targets: restarted engines, failed loads, dead or frozen agents, wrong peer keys.
 
-use crate::support::{ask, finish, start};
+use crate::support::{finish, send_and_check, start};
 use eyre::{Result, ensure};
 use nix::sys::signal::Signal;
 use plantain_standin::{
@@ -10,56 +10,58 @@
 };
 use serde_json::{Value, json};
 
-async fn home_of(cluster: &Cluster, model: &str) -> Result<usize> {
-    let answer = ask(cluster, 0, &ChatCall::new(model, "Open?", 2), model).await?;
+/// Sends a request for an adapter and returns the index of the engine that answered it.
+async fn preferred_engine(cluster: &Cluster, model: &str) -> Result<usize> {
+    let answer = send_and_check(cluster, 0, &ChatCall::new(model, "Open?", 2), model).await?;
     let target = answer.header("x-plantain-target").unwrap_or_default();
     Ok(target.trim_start_matches("scribe-").parse()?)
 }
 
-/// The caller sees a right answer. The engine restarts empty under its agent; the agent's first
-/// request then meets an engine that does not hold the adapter, which proves that nothing ran, so
-/// the agent loads it again and runs the request.
+/// Guards against errors after an engine has restarted without its adapters. The engine refuses the
+/// agent's next request because the adapter is not resident, which proves that it did not run; the
+/// agent must load the adapter again and run the request.
 #[tokio::test]
 async fn engine_restarted_empty_is_loaded_again() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     let call = ChatCall::new("house-0004@2", "Open?", 3);
-    ask(&cluster, 0, &call, "house-0004@2").await?;
+    send_and_check(&cluster, 0, &call, "house-0004@2").await?;
     cluster.set(cluster.engine(0), "/standin/restart", &json!({})).await?;
-    ask(&cluster, 0, &call, "house-0004@2").await?;
+    send_and_check(&cluster, 0, &call, "house-0004@2").await?;
     let records: EngineRecords = cluster.page(cluster.engine(0), "/standin/records").await?;
     ensure!(records.loads == 2, "loads: {}", records.loads);
     finish(cluster).await
 }
 
-/// The caller sees a right answer. Loads fail at the engine that the adapter's requests go to; the
-/// agent tries twice, refuses its waiters, and the entry goes to the other engine.
+/// Guards against calls that fail because loads fail at their preferred engine. The agent tries the
+/// load twice and refuses the waiting calls; the entry must send them to the other engine.
 #[tokio::test]
-async fn load_that_fails_is_done_elsewhere() -> Result<()> {
+async fn failed_load_is_retried_at_another_engine() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 2, &["kandy"])).await?;
-    let home = home_of(&cluster, "house-0005@1").await?;
+    let preferred = preferred_engine(&cluster, "house-0005@1").await?;
     let faults = EngineFaults { fail_loads: 1_000, ..EngineFaults::default() };
-    cluster.set(cluster.engine(home), "/standin/faults", &faults).await?;
-    cluster.set(cluster.engine(home), "/standin/restart", &json!({})).await?;
+    cluster.set(cluster.engine(preferred), "/standin/faults", &faults).await?;
+    cluster.set(cluster.engine(preferred), "/standin/restart", &json!({})).await?;
     let answer =
-        ask(&cluster, 0, &ChatCall::new("house-0005@1", "Open?", 3), "house-0005@1").await?;
-    let other = format!("scribe-{}", 1 - home);
+        send_and_check(&cluster, 0, &ChatCall::new("house-0005@1", "Open?", 3), "house-0005@1")
+            .await?;
+    let other = format!("scribe-{}", 1 - preferred);
     ensure!(answer.header("x-plantain-target") == Some(other.as_str()), "{answer:?}");
     finish(cluster).await
 }
 
-/// The caller sees a right answer. The agent that its request would go to is killed, or frozen so
-/// that its connection still looks alive; the offer gets no word back, so nothing has reached the
-/// caller, and the entry offers it to the other agent.
+/// Guards against calls that fail with their agent. The preferred agent is killed, or frozen so
+/// that its link still looks alive. The offer gets no reply, so the call has not run, and the entry
+/// must offer it to the other agent.
 #[tokio::test]
-async fn dead_or_frozen_agent_is_left_out() -> Result<()> {
+async fn calls_avoid_a_dead_or_frozen_agent() -> Result<()> {
     for signal in [Signal::SIGKILL, Signal::SIGSTOP] {
         let mut cluster = start(ClusterPlan::new(1, 2, &["kandy"])).await?;
-        let home = home_of(&cluster, "house-0006@1").await?;
-        let agent = format!("agent-engine-{home}");
+        let preferred = preferred_engine(&cluster, "house-0006@1").await?;
+        let agent = format!("agent-engine-{preferred}");
         cluster.signal(&agent, signal)?;
         let call = ChatCall::new("house-0006@1", "Open?", 3);
-        let answer = ask(&cluster, 0, &call, "house-0006@1").await?;
-        let other = format!("scribe-{}", 1 - home);
+        let answer = send_and_check(&cluster, 0, &call, "house-0006@1").await?;
+        let other = format!("scribe-{}", 1 - preferred);
         ensure!(answer.header("x-plantain-target") == Some(other.as_str()), "{answer:?}");
         cluster.kill(&agent).await?;
         finish(cluster).await?;
@@ -67,28 +69,28 @@
     Ok(())
 }
 
-/// The caller sees right answers from the successor. The agent freezes while it still believes that
-/// it holds its slot; a successor on another host takes the slot with a higher epoch, and entries
-/// follow the slot. When the old one wakes it finds its slot taken and takes no more work; were it
-/// to order anything first, the engine would refuse the old fencing number.
+/// Guards against two agents that order one engine. An agent is frozen while it holds its slot; a
+/// successor takes the slot with a higher epoch, and entries route to the successor. When the old
+/// agent resumes, it must find that it lost the slot and accept no calls; the engine would refuse
+/// any earlier order of it for its outdated fencing number.
 #[tokio::test]
 async fn successor_takes_over_from_a_frozen_agent() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
     plan.check_fencing = true;
     let mut cluster = start(plan).await?;
     let call = ChatCall::new("house-0008@2", "Open?", 3);
-    ask(&cluster, 0, &call, "house-0008@2").await?;
+    send_and_check(&cluster, 0, &call, "house-0008@2").await?;
     cluster.signal("agent-engine-0", Signal::SIGSTOP)?;
     cluster.start_successor(0)?;
     cluster
         .wait_for("successor serves", async || {
-            Ok(ask(&cluster, 0, &call, "house-0008@2").await.is_ok())
+            Ok(send_and_check(&cluster, 0, &call, "house-0008@2").await.is_ok())
         })
         .await?;
     let status: Value = cluster.page(cluster.spare(0), "/status").await?;
     ensure!(
         status["residents"][0] == "house-0008@2",
-        "the successor adopts what is there: {status}"
+        "the successor did not adopt the resident adapter: {status}"
     );
     cluster.signal("agent-engine-0", Signal::SIGCONT)?;
     cluster
@@ -99,26 +101,26 @@
         .await?;
     for index in 0..12 {
         let model = format!("house-{index:04}@1");
-        ask(&cluster, 0, &ChatCall::new(&model, "Open?", 2), &model).await?;
+        send_and_check(&cluster, 0, &ChatCall::new(&model, "Open?", 2), &model).await?;
     }
     let records: EngineRecords = cluster.page(cluster.engine(0), "/standin/records").await?;
     ensure!(records.evicted_in_use == 0, "evicted in use");
     finish(cluster).await
 }
 
-/// A request that this agent did not start, as one of a killed predecessor, runs on the engine when
-/// the agent comes up. It has no pin for it, so it must take no work, and order no eviction, until
-/// the engine is idle; the foreign answer comes whole.
+/// Guards against eviction of an adapter that a predecessor's call still uses. When an agent
+/// starts, its engine runs a request that it did not send and holds no pin for. It must accept no
+/// calls and evict nothing until the engine is idle, and that request's answer must be complete.
 #[tokio::test]
 async fn agent_restarted_under_a_busy_engine_waits_until_it_is_idle() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    ask(&cluster, 0, &ChatCall::new("house-0001@1", "Open?", 2), "house-0001@1").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0001@1", "Open?", 2), "house-0001@1").await?;
     let (http, engine) = (cluster.http().clone(), cluster.engine(0));
-    let foreign = tokio::spawn(async move {
+    let earlier = tokio::spawn(async move {
         ChatCall::new("house-0001@1", "All rules?", 800).send(&http, engine).await
     });
     cluster
-        .wait_for("foreign request runs", async || {
+        .wait_for("earlier request runs", async || {
             let records: EngineRecords =
                 cluster.page(cluster.engine(0), "/standin/records").await?;
             Ok(records.executed.len() == 2)
@@ -132,22 +134,22 @@
             Ok(status["leased"] == true)
         })
         .await?;
-    while !foreign.is_finished() {
+    while !earlier.is_finished() {
         let status: Value = cluster.page(cluster.engine_agent_admin(0), "/status").await?;
-        ensure!(status["target_up"] == false || foreign.is_finished(), "took work: {status}");
+        ensure!(status["target_up"] == false || earlier.is_finished(), "accepted calls: {status}");
     }
-    let answer = foreign.await??;
-    ensure!(answer.text().contains("[DONE]"), "the foreign answer was cut");
+    let answer = earlier.await??;
+    ensure!(answer.text().contains("[DONE]"), "the answer to the earlier request was truncated");
     cluster.wait_ready().await?;
-    ask(&cluster, 0, &ChatCall::new("house-0001@1", "Open?", 2), "house-0001@1").await?;
+    send_and_check(&cluster, 0, &ChatCall::new("house-0001@1", "Open?", 2), "house-0001@1").await?;
     let records: EngineRecords = cluster.page(cluster.engine(0), "/standin/records").await?;
     ensure!(records.evicted_in_use == 0 && records.loads == 1, "{records:?}");
     finish(cluster).await
 }
 
-/// The caller is told at its deadline that the request was not run: the load that it waits for hangs,
-/// nothing was handed to the engine, and the agent's refusal proves it. When the load comes through
-/// after all, the next caller finds the adapter there.
+/// Guards against calls that wait past their deadline for a hanging load. The agent must refuse the
+/// call at its deadline, which proves that it was not run. When the load completes later, the next
+/// call must find the adapter resident.
 #[tokio::test]
 async fn hanging_load_does_not_hold_its_waiters_past_their_deadline() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
@@ -157,15 +159,15 @@
         ChatCall::new("house-0009@1", "Open?", 2).with_header("x-plantain-deadline-ms", "2000");
     let answer = call.send(cluster.http(), cluster.entry(0)).await?;
     ensure!(answer.error()["outcome"] == "not_run", "{} {}", answer.status, answer.text());
-    ensure!(answer.last < std::time::Duration::from_secs(4), "held for {:?}", answer.last);
+    ensure!(answer.last < std::time::Duration::from_secs(4), "refused after {:?}", answer.last);
     cluster.set(cluster.engine(0), "/standin/faults", &EngineFaults::default()).await?;
-    let patient = ChatCall::new("house-0009@1", "Open?", 2);
-    ask(&cluster, 0, &patient, "house-0009@1").await?;
+    let next_call = ChatCall::new("house-0009@1", "Open?", 2);
+    send_and_check(&cluster, 0, &next_call, "house-0009@1").await?;
     finish(cluster).await
 }
 
-/// The operator sees the offers of a process without the key refused. It announces itself like any
-/// agent, but neither end of the link accepts the other's key, so no request goes to it.
+/// Guards against calls that go to a process without the peer key. It announces itself like any
+/// agent, but neither end of the link accepts the other's key, so calls must be refused as not run.
 #[tokio::test]
 async fn peer_without_the_key_is_refused() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
