--- a/crates/standin/src/bench/optimal.rs
+++ b/crates/standin/src/bench/optimal.rs
@@ -13,21 +13,21 @@
         next_use[index] = seen.insert(request.adapter, index).unwrap_or(usize::MAX);
     }
     let capacity = workload.targets * workload.slots;
-    let mut held: HashMap<usize, usize> = HashMap::new();
+    let mut resident: HashMap<usize, usize> = HashMap::new();
     let mut by_next: BTreeSet<(usize, usize)> = BTreeSet::new();
     let mut loads = 0;
     for (index, request) in requests.iter().enumerate() {
-        if let Some(next) = held.remove(&request.adapter) {
+        if let Some(next) = resident.remove(&request.adapter) {
             by_next.remove(&(next, request.adapter));
         } else {
             loads += u64::from(request.at >= workload.warm_up);
-            if held.len() >= capacity
+            if resident.len() >= capacity
                 && let Some((_, victim)) = by_next.pop_last()
             {
-                held.remove(&victim);
+                resident.remove(&victim);
             }
         }
-        held.insert(request.adapter, next_use[index]);
+        resident.insert(request.adapter, next_use[index]);
         by_next.insert((next_use[index], request.adapter));
     }
     loads
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -103,7 +103,7 @@
         self.address(plan::ENGINE_PORT + index as u16)
     }
 
-    /// Address for entries of the agent of engine `index`.
+    /// Address on which the agent of engine `index` accepts links from entries.
     pub fn engine_agent(&self, index: usize) -> SocketAddr {
         self.address(plan::ENGINE_AGENT_PORT + index as u16)
     }
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -112,9 +112,9 @@
 
 fn print_hints(cluster: &Cluster) {
     let (entry, platform) = (cluster.entry(0), cluster.platform());
-    let folder =
+    let directory =
         env::current_exe().ok().and_then(|path| path.parent().map(|p| p.display().to_string()));
-    let control = format!("{}/plantainctl --platform {platform}", folder.unwrap_or_default());
+    let control = format!("{}/plantainctl --platform {platform}", directory.unwrap_or_default());
     println!(
         r#"
 The cluster is running; Ctrl-C stops it. Try:
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Characters at the start of a prompt that are its key in the prefix cache.
-const PREFIX_BYTES: usize = 256;
+const PREFIX_CHARS: usize = 256;
 
 /// Cost model of a batch step.
 #[derive(Clone, Debug)]
@@ -157,18 +157,18 @@
 
     /// Aborts all sequences of an adapter and returns their number.
     pub fn abort_model(&mut self, model: &str) -> usize {
-        let mut lost = 0;
+        let mut aborted = 0;
         for sequences in [&mut self.waiting, &mut self.running] {
             sequences.retain(|sequence| {
                 let kept = sequence.model != model;
                 if !kept {
                     let _ = sequence.events.send(TokenEvent::Lost);
-                    lost += 1;
+                    aborted += 1;
                 }
                 kept
             });
         }
-        lost
+        aborted
     }
 
     /// Aborts all sequences and empties the prefix cache, as a restart does.
@@ -181,7 +181,7 @@
 
     /// Prompt tokens to prefill, without those of a cached prefix; updates the cache (LRU).
     fn prefill_tokens(&mut self, prompt: &str) -> u32 {
-        let prefix: String = prompt.chars().take(PREFIX_BYTES).collect();
+        let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let known = self.prefixes.iter().position(|kept| *kept == prefix);
         if let Some(index) = known {
             self.prefixes.remove(index);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    fn passed(&self, direction: ProxyDirection) -> &AtomicU64 {
+    fn byte_count(&self, direction: ProxyDirection) -> &AtomicU64 {
         match direction {
             ProxyDirection::Up => &self.bytes_up,
             ProxyDirection::Down => &self.bytes_down,
@@ -115,12 +115,12 @@
         if self.faults.borrow().cut {
             return false;
         }
-        let set = self.direction(direction);
-        if set.delay_ms > 0 {
-            sleep(Duration::from_millis(set.delay_ms)).await;
+        let active = self.direction(direction);
+        if active.delay_ms > 0 {
+            sleep(Duration::from_millis(active.delay_ms)).await;
         }
-        let passed = self.passed(direction).fetch_add(bytes as u64, Ordering::AcqRel);
-        set.cut_after == 0 || passed < set.cut_after
+        let previous_bytes = self.byte_count(direction).fetch_add(bytes as u64, Ordering::AcqRel);
+        active.cut_after == 0 || previous_bytes < active.cut_after
     }
 }
 
@@ -282,7 +282,7 @@
 ) -> Option<Arc<UdpSocket>> {
     let flow = Arc::new(UdpSocket::bind((upstream.ip(), 0)).await.ok()?);
     flow.connect(upstream).await.ok()?;
-    let (back, reader, state) = (Arc::clone(socket), Arc::clone(&flow), state.clone());
+    let (reply_socket, reader, state) = (Arc::clone(socket), Arc::clone(&flow), state.clone());
     tokio::spawn(async move {
         let mut buffer = vec![0; DATAGRAM_LIMIT];
         loop {
@@ -292,10 +292,11 @@
                 sleep(Duration::from_millis(5)).await;
                 continue;
             };
-            let (datagram, back, state) = (buffer[..count].to_vec(), back.clone(), state.clone());
+            let (datagram, reply_socket, state) =
+                (buffer[..count].to_vec(), reply_socket.clone(), state.clone());
             tokio::spawn(async move {
                 if admit_datagram(&state, ProxyDirection::Down, count).await {
-                    let _ = back.send_to(&datagram, client).await;
+                    let _ = reply_socket.send_to(&datagram, client).await;
                 }
             });
         }
@@ -306,7 +307,7 @@
 /// Applies the faults to a datagram; false if it is dropped. A stall drops datagrams, as a real
 /// network does.
 async fn admit_datagram(state: &ProxyState, direction: ProxyDirection, count: usize) -> bool {
-    let set = state.direction(direction);
-    let dropped = set.drop > 0.0 && rand::rng().random_bool(set.drop.min(1.0));
-    !dropped && !set.stall && state.apply_faults(direction, count).await
+    let active = state.direction(direction);
+    let dropped = active.drop > 0.0 && rand::rng().random_bool(active.drop.min(1.0));
+    !dropped && !active.stall && state.apply_faults(direction, count).await
 }
--- a/crates/standin/src/faults/ledger.rs
+++ b/crates/standin/src/faults/ledger.rs
@@ -29,9 +29,9 @@
     /// Value of the `x-request-id` header.
     pub id: String,
     /// When it was sent, relative to the start of the run.
-    pub asked: Duration,
+    pub sent_at: Duration,
     /// When it ended, relative to the start of the run.
-    pub ended: Duration,
+    pub ended_at: Duration,
     /// Outcome that the caller saw.
     pub outcome: CallOutcome,
     /// Why the answer failed the check; absent if it passed or there was no answer.
@@ -194,7 +194,7 @@
     calls.iter().filter(|call| call.method == "POST")
 }
 
-/// Counts completions and stamps that ran although their callers were told otherwise. A stamp
+/// Counts completions and stamps that ran although their callers were told that they were not run. A stamp
 /// counts only if all its attempts were reported as not run.
 fn check_not_run(
     ledger: &Ledger,
@@ -217,10 +217,10 @@
     for stamp in &ledger.stamps {
         outcomes.entry(&stamp.key).or_default().push(stamp.outcome);
     }
-    let never = outcomes
+    let reported_not_run = outcomes
         .iter()
         .filter(|(_, all)| all.iter().all(|outcome| *outcome == CallOutcome::NotRun));
-    let ran = never.filter(|(key, _)| keys.contains(**key));
+    let ran = reported_not_run.filter(|(key, _)| keys.contains(**key));
     lines.extend(ran.map(|(key, _)| format!("stamp {key} was reported as not run, but ran")));
     violations.extend(lines.iter().cloned());
     lines.len()
@@ -257,7 +257,9 @@
     let mut lines = Vec::new();
     for stop in windows.iter().filter(is_stop).filter(alone) {
         let cut = ledger.chats.iter().filter(|chat| {
-            chat.outcome == CallOutcome::Unknown && chat.asked >= stop.from && chat.ended <= stop.to
+            chat.outcome == CallOutcome::Unknown
+                && chat.sent_at >= stop.from
+                && chat.ended_at <= stop.to
         });
         lines.extend(cut.map(|chat| format!("{} cut {}: {}", stop.kind, chat.id, chat.detail)));
     }
@@ -265,19 +267,20 @@
     lines.len()
 }
 
+/// Counts completions and answers by the fault that was active when they were sent.
 fn availability(ledger: &Ledger, windows: &[FaultWindow]) -> BTreeMap<String, Availability> {
-    let mut kinds: BTreeMap<String, Availability> = BTreeMap::new();
+    let mut by_fault: BTreeMap<String, Availability> = BTreeMap::new();
     for chat in &ledger.chats {
-        let entry = kinds.entry(active_fault(chat, windows).to_owned()).or_default();
+        let entry = by_fault.entry(active_fault(chat, windows).to_owned()).or_default();
         entry.asked += 1;
         entry.answered += u64::from(chat.outcome == CallOutcome::Answered);
     }
-    kinds
+    by_fault
 }
 
 /// Name of the fault that was active when a completion was sent.
 fn active_fault<'a>(chat: &ChatRecord, windows: &'a [FaultWindow]) -> &'a str {
-    let mut active = windows.iter().filter(|w| chat.asked >= w.from && chat.asked < w.to);
+    let mut active = windows.iter().filter(|w| chat.sent_at >= w.from && chat.sent_at < w.to);
     match (active.next(), active.next()) {
         (None, _) => "none",
         (Some(one), None) => &one.kind,
@@ -289,7 +292,7 @@
 fn failures(ledger: &Ledger, windows: &[FaultWindow]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for chat in ledger.chats.iter().filter(|chat| chat.outcome != CallOutcome::Answered) {
-        let last = windows.iter().rfind(|window| window.to <= chat.asked);
+        let last = windows.iter().rfind(|window| window.to <= chat.sent_at);
         let after = last.map_or("nothing", |window| &window.kind);
         let detail: String = chat.detail.chars().take(DETAIL_LENGTH).collect();
         let line = format!("{} (after {after}): {detail}", active_fault(chat, windows));
--- a/crates/standin/src/faults/traffic.rs
+++ b/crates/standin/src/faults/traffic.rs
@@ -137,11 +137,11 @@
     id: String,
     entry: SocketAddr,
 ) -> ChatRecord {
-    let asked = context.begin.elapsed();
+    let sent_at = context.begin.elapsed();
     let mut record = ChatRecord {
         id,
-        asked,
-        ended: asked,
+        sent_at,
+        ended_at: sent_at,
         outcome: CallOutcome::Unknown,
         wrong: None,
         detail: String::new(),
@@ -171,7 +171,7 @@
         }
         Err(_) => record.detail = "no answer".into(),
     }
-    record.ended = context.begin.elapsed();
+    record.ended_at = context.begin.elapsed();
     record
 }
 
@@ -274,11 +274,11 @@
     cluster: &SharedCluster,
     arguments: &FaultRunArguments,
 ) -> Result<()> {
-    let Some(promise) = &arguments.break_promise else { return Ok(()) };
+    let Some(guarantee) = &arguments.break_promise else { return Ok(()) };
     let cluster = cluster.read().await;
     let mut engine = EngineFaults::default();
     let mut service = ServiceFaults::default();
-    match promise.as_str() {
+    match guarantee.as_str() {
         "answer" => engine.wrong_content = 1,
         "eviction" => engine.drop_in_use = 1,
         // Falsifies the caller's record; see `send_completion`.
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -46,7 +46,8 @@
     /// Number of the next calls that are executed twice.
     pub execute_twice: u32,
     /// If set, calls are answered with status 503 and this value as `Retry-After`.
-    pub rest: Option<String>,
+    #[serde(rename = "rest")]
+    pub retry_after: Option<String>,
 }
 
 #[derive(Clone)]
@@ -92,10 +93,10 @@
             body_bytes: body.len(),
         };
         self.execute(call);
-        let rest = self.faults.lock().expect("no panic while locked").rest.clone();
-        if let Some(rest) = rest.and_then(|rest| HeaderValue::from_str(&rest).ok()) {
+        let retry_after = self.faults.lock().expect("no panic while locked").retry_after.clone();
+        if let Some(value) = retry_after.and_then(|text| HeaderValue::from_str(&text).ok()) {
             let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "busy");
-            reply.headers_mut().insert(RETRY_AFTER, rest);
+            reply.headers_mut().insert(RETRY_AFTER, value);
             return reply;
         }
         sleep(self.call_time).await;
--- a/crates/standin/tests/integration/answers.rs
+++ b/crates/standin/tests/integration/answers.rs
@@ -60,7 +60,7 @@
     let first = call.send(cluster.http(), cluster.entry(0)).await?;
     ensure!(first.status == 502 || call.check(&first, "house-0001@2").is_ok(), "{}", first.text());
     cluster
-        .wait_for("whole answer", async || {
+        .wait_for("complete answer", async || {
             Ok(send_and_check(&cluster, 0, &call, "house-0001@2").await.is_ok())
         })
         .await?;
@@ -147,12 +147,12 @@
     };
     let cases = [
         case("stream", true, &b""[..], false),
-        case("stream, empty line behind it", true, b"\r\n", false),
-        case("stream, next request behind it", true, NEXT_REQUEST, false),
-        case("stream, next request behind it, reset", true, NEXT_REQUEST, true),
-        case("whole answer", false, b"", false),
-        case("whole answer, empty line behind it", false, b"\r\n", true),
-        case("whole answer, next request behind it", false, NEXT_REQUEST, false),
+        case("stream, empty line after it", true, b"\r\n", false),
+        case("stream, next request after it", true, NEXT_REQUEST, false),
+        case("stream, next request after it, reset", true, NEXT_REQUEST, true),
+        case("not streamed", false, b"", false),
+        case("not streamed, empty line after it", false, b"\r\n", true),
+        case("not streamed, next request after it", false, NEXT_REQUEST, false),
     ];
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     send_and_check(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
@@ -176,7 +176,7 @@
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     send_and_check(&cluster, 0, &ChatCall::new("house-0001", "Open?", 2), "house-0001@1").await?;
     let case = DisconnectCase {
-        name: "whole answer",
+        name: "not streamed",
         is_streamed: false,
         pipelined: b"",
         is_reset: false,
--- a/crates/standin/tests/integration/requests.rs
+++ b/crates/standin/tests/integration/requests.rs
@@ -139,8 +139,8 @@
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
     let mut stream = TcpStream::connect(cluster.entry(0)).await?;
     stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await?;
-    let mut rest = Vec::new();
-    timeout(Duration::from_secs(40), stream.read_to_end(&mut rest)).await??;
+    let mut received = Vec::new();
+    timeout(Duration::from_secs(40), stream.read_to_end(&mut received)).await??;
     finish(cluster).await
 }
 
--- a/crates/standin/tests/integration/services.rs
+++ b/crates/standin/tests/integration/services.rs
@@ -110,7 +110,7 @@
 #[tokio::test]
 async fn a_service_that_requests_a_backoff_gets_no_calls() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    let faults = ServiceFaults { rest: Some("2".to_owned()), ..ServiceFaults::default() };
+    let faults = ServiceFaults { retry_after: Some("2".to_owned()), ..ServiceFaults::default() };
     cluster.set(cluster.service(0), "/standin/faults", &faults).await?;
     let refused = call(&cluster, Method::GET, "/services/desk/slots", "").await?;
     let refused_at = Instant::now();
--- a/crates/standin/tests/integration/stopping.rs
+++ b/crates/standin/tests/integration/stopping.rs
@@ -41,7 +41,7 @@
     wait_running(&cluster).await?;
     cluster.signal("entry-0", Signal::SIGTERM)?;
     cluster
-        .wait_for("entry unready or gone", async || {
+        .wait_for("entry unready or stopped", async || {
             let ready = cluster.page::<Value>(cluster.entry_admin(0), "/status").await;
             Ok(ready.map_or(true, |status| status["ready"] == false))
         })
@@ -68,7 +68,7 @@
     let agent = format!("agent-engine-{busy}");
     cluster.signal(&agent, Signal::SIGTERM)?;
     cluster
-        .wait_for("agent leaves", async || {
+        .wait_for("agent draining", async || {
             let admin = cluster.engine_agent_admin(busy);
             let status: Value = cluster.page(admin, "/status").await?;
             Ok(status["leaving"] == true)
--- a/crates/standin/tests/integration/targets.rs
+++ b/crates/standin/tests/integration/targets.rs
@@ -50,7 +50,7 @@
 }
 
 /// Guards against calls that fail with their agent. The preferred agent is killed, or frozen so
-/// that its link still looks alive. The offer gets no reply, so the call has not run, and the entry
+/// that its link still looks alive. The offer gets no reply, so nothing has reached the caller, and the entry
 /// must offer it to the other agent.
 #[tokio::test]
 async fn calls_avoid_a_dead_or_frozen_agent() -> Result<()> {
