--- a/crates/standin/src/faults/ledger.rs
+++ b/crates/standin/src/faults/ledger.rs
@@ -14,7 +14,7 @@
 /// Outcome of one attempt as its caller saw it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CallOutcome {
+pub enum Outcome {
     /// A complete answer with the expected content.
     Answered,
     /// An error which states that the call was not run, or no connection was made.
@@ -33,7 +33,7 @@
     /// When it ended, relative to the start of the run.
     pub ended_at: Duration,
     /// Outcome that the caller saw.
-    pub outcome: CallOutcome,
+    pub outcome: Outcome,
     /// Why the answer failed the check; absent if it passed or there was no answer.
     pub wrong: Option<String>,
     /// Error text for the report; empty for an answer.
@@ -46,7 +46,7 @@
     /// Idempotency key; all attempts of a stamp share it.
     pub key: String,
     /// Outcome that the caller saw.
-    pub outcome: CallOutcome,
+    pub outcome: Outcome,
 }
 
 /// Everything that callers, operators and observers recorded during a run.
@@ -125,8 +125,7 @@
             violations.push(format!("evicted in use: {evicted}"));
         }
         violations.extend(ledger.reversions.iter().cloned());
-        let whole =
-            ledger.chats.iter().filter(|chat| chat.outcome == CallOutcome::Answered).count();
+        let whole = ledger.chats.iter().filter(|chat| chat.outcome == Outcome::Answered).count();
         Self {
             seed,
             requests: ledger.chats.len(),
@@ -207,19 +206,18 @@
     let mut lines: Vec<String> = ledger
         .chats
         .iter()
-        .filter(|chat| chat.outcome == CallOutcome::NotRun && executed.contains(chat.id.as_str()))
+        .filter(|chat| chat.outcome == Outcome::NotRun && executed.contains(chat.id.as_str()))
         .map(|chat| {
             format!("completion {} was reported as not run, but ran: {}", chat.id, chat.detail)
         })
         .collect();
     let keys: HashSet<&str> = stamp_calls(calls).filter_map(|call| call.key.as_deref()).collect();
-    let mut outcomes: HashMap<&str, Vec<CallOutcome>> = HashMap::new();
+    let mut outcomes: HashMap<&str, Vec<Outcome>> = HashMap::new();
     for stamp in &ledger.stamps {
         outcomes.entry(&stamp.key).or_default().push(stamp.outcome);
     }
-    let reported_not_run = outcomes
-        .iter()
-        .filter(|(_, all)| all.iter().all(|outcome| *outcome == CallOutcome::NotRun));
+    let reported_not_run =
+        outcomes.iter().filter(|(_, all)| all.iter().all(|outcome| *outcome == Outcome::NotRun));
     let ran = reported_not_run.filter(|(key, _)| keys.contains(**key));
     lines.extend(ran.map(|(key, _)| format!("stamp {key} was reported as not run, but ran")));
     violations.extend(lines.iter().cloned());
@@ -257,7 +255,7 @@
     let mut lines = Vec::new();
     for stop in windows.iter().filter(is_stop).filter(alone) {
         let cut = ledger.chats.iter().filter(|chat| {
-            chat.outcome == CallOutcome::Unknown
+            chat.outcome == Outcome::Unknown
                 && chat.sent_at >= stop.from
                 && chat.ended_at <= stop.to
         });
@@ -273,7 +271,7 @@
     for chat in &ledger.chats {
         let entry = by_fault.entry(active_fault(chat, windows).to_owned()).or_default();
         entry.asked += 1;
-        entry.answered += u64::from(chat.outcome == CallOutcome::Answered);
+        entry.answered += u64::from(chat.outcome == Outcome::Answered);
     }
     by_fault
 }
@@ -291,7 +289,7 @@
 /// Counts completions without an answer by active fault, last fault that ended before, and error.
 fn failures(ledger: &Ledger, windows: &[FaultWindow]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for chat in ledger.chats.iter().filter(|chat| chat.outcome != CallOutcome::Answered) {
+    for chat in ledger.chats.iter().filter(|chat| chat.outcome != Outcome::Answered) {
         let last = windows.iter().rfind(|window| window.to <= chat.sent_at);
         let after = last.map_or("nothing", |window| &window.kind);
         let detail: String = chat.detail.chars().take(DETAIL_LENGTH).collect();
--- a/crates/standin/src/faults/traffic.rs
+++ b/crates/standin/src/faults/traffic.rs
@@ -3,7 +3,7 @@
 
 use super::{
     SharedCluster, draw_pause,
-    ledger::{CallOutcome, ChatRecord, Ledger, StampRecord},
+    ledger::{ChatRecord, Ledger, Outcome, StampRecord},
     seeded_rng,
 };
 use crate::{
@@ -42,7 +42,7 @@
 
 /// Whether the next answered completion is recorded as not run, to test that the run detects the
 /// violation (`--break not-run`).
-static FALSIFY_NEXT_OUTCOME: AtomicBool = AtomicBool::new(false);
+static FALSIFY: AtomicBool = AtomicBool::new(false);
 
 /// State shared by all tasks of the load.
 #[derive(Clone)]
@@ -70,7 +70,7 @@
         self.entries[open[random.random_range(0..open.len())]]
     }
 
-    fn update_ledger(&self, change: impl FnOnce(&mut Ledger)) {
+    fn record(&self, change: impl FnOnce(&mut Ledger)) {
         change(&mut self.ledger.lock().expect("no panic while locked"));
     }
 }
@@ -124,7 +124,7 @@
         call.streamed = random.random_bool(0.6);
         let entry = context.pick_entry(&mut random);
         let record = send_completion(&context, &call, &model, id, entry).await;
-        context.update_ledger(|ledger| ledger.chats.push(record));
+        context.record(|ledger| ledger.chats.push(record));
         sleep(draw_pause(&mut random, 50, 400)).await;
     }
     Ok(())
@@ -142,30 +142,28 @@
         id,
         sent_at,
         ended_at: sent_at,
-        outcome: CallOutcome::Unknown,
+        outcome: Outcome::Unknown,
         wrong: None,
         detail: String::new(),
     };
     match tokio::time::timeout(CALL_TIMEOUT, call.send(&context.http, entry)).await {
         Ok(Ok(answer)) if answer.status == StatusCode::OK && answer.broken.is_none() => {
             match call.check(&answer, model) {
-                Ok(()) if FALSIFY_NEXT_OUTCOME.swap(false, Ordering::AcqRel) => {
-                    record.outcome = CallOutcome::NotRun;
-                }
-                Ok(()) => record.outcome = CallOutcome::Answered,
+                Ok(()) if FALSIFY.swap(false, Ordering::AcqRel) => record.outcome = Outcome::NotRun,
+                Ok(()) => record.outcome = Outcome::Answered,
                 Err(error) => record.wrong = Some(format!("{error:#}")),
             }
         }
         Ok(Ok(answer)) => {
             let error = answer.error();
             if error["outcome"] == "not_run" {
-                record.outcome = CallOutcome::NotRun;
+                record.outcome = Outcome::NotRun;
             }
             record.detail = format!("{} {error} {:?}", answer.status, answer.broken);
         }
         Ok(Err(error)) => {
             if is_unsent(&error) {
-                record.outcome = CallOutcome::NotRun;
+                record.outcome = Outcome::NotRun;
             }
             record.detail = format!("{error:#}");
         }
@@ -192,10 +190,8 @@
         for _ in 0..STAMP_ATTEMPTS {
             let entry = context.pick_entry(&mut random);
             let outcome = send_stamp(&context, &key, entry).await;
-            context.update_ledger(|ledger| {
-                ledger.stamps.push(StampRecord { key: key.clone(), outcome });
-            });
-            if outcome == CallOutcome::Answered && random.random_bool(0.7) {
+            context.record(|ledger| ledger.stamps.push(StampRecord { key: key.clone(), outcome }));
+            if outcome == Outcome::Answered && random.random_bool(0.7) {
                 break;
             }
             sleep(draw_pause(&mut random, 10, 300)).await;
@@ -205,7 +201,7 @@
     Ok(())
 }
 
-async fn send_stamp(context: &TrafficContext, key: &str, entry: SocketAddr) -> CallOutcome {
+async fn send_stamp(context: &TrafficContext, key: &str, entry: SocketAddr) -> Outcome {
     let request = Request::builder()
         .method(Method::POST)
         .uri(url(entry, "/services/desk/stamps"))
@@ -214,17 +210,13 @@
         .body(Full::new(Bytes::from_static(b"gate 7")))
         .expect("a good request");
     match context.http.fetch(request, CALL_TIMEOUT).await {
-        Ok(answer) if answer.status == StatusCode::OK => CallOutcome::Answered,
+        Ok(answer) if answer.status == StatusCode::OK => Outcome::Answered,
         Ok(answer) => {
             let error: Value = answer.json().unwrap_or_default();
-            if error["error"]["outcome"] == "not_run" {
-                CallOutcome::NotRun
-            } else {
-                CallOutcome::Unknown
-            }
+            if error["error"]["outcome"] == "not_run" { Outcome::NotRun } else { Outcome::Unknown }
         }
-        Err(error) if is_unsent(&error) => CallOutcome::NotRun,
-        Err(_) => CallOutcome::Unknown,
+        Err(error) if is_unsent(&error) => Outcome::NotRun,
+        Err(_) => Outcome::Unknown,
     }
 }
 
@@ -240,7 +232,7 @@
         let arguments = ["adapter", "roll-out", "house-0000", &version];
         let output = cluster.read().await.control(&arguments).await?;
         if output.status.success() {
-            context.update_ledger(|ledger| ledger.changes += 1);
+            context.record(|ledger| ledger.changes += 1);
         }
     }
     Ok(())
@@ -260,7 +252,7 @@
             let revision = status["revision"].as_u64().unwrap_or(0);
             if status["ready"] == true && revision < highest[index] {
                 let line = format!("entry-{index} went back from {} to {revision}", highest[index]);
-                context.update_ledger(|ledger| ledger.reversions.push(line));
+                context.record(|ledger| ledger.reversions.push(line));
             }
             highest[index] = highest[index].max(revision);
         }
@@ -282,7 +274,7 @@
         "answer" => engine.wrong_content = 1,
         "eviction" => engine.drop_in_use = 1,
         // Falsifies the caller's record; see `send_completion`.
-        "not-run" => FALSIFY_NEXT_OUTCOME.store(true, Ordering::Release),
+        "not-run" => FALSIFY.store(true, Ordering::Release),
         "once" => service.execute_twice = 1,
         other => bail!("--break: `{other}` is not answer, eviction, not-run or once"),
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -94,9 +94,11 @@
         };
         self.execute(call);
         let retry_after = self.faults.lock().expect("no panic while locked").retry_after.clone();
-        if let Some(value) = retry_after.and_then(|text| HeaderValue::from_str(&text).ok()) {
+        if let Some(retry_after) =
+            retry_after.and_then(|retry_after| HeaderValue::from_str(&retry_after).ok())
+        {
             let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "busy");
-            reply.headers_mut().insert(RETRY_AFTER, value);
+            reply.headers_mut().insert(RETRY_AFTER, retry_after);
             return reply;
         }
         sleep(self.call_time).await;
