--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -58,8 +58,8 @@
     pub delay_ms: u64,
     /// Share of datagrams that are dropped, from 0 to 1; TCP ignores it.
     pub drop: f64,
-    /// TCP: connections are closed after this many bytes, counted over all connections since the
-    /// faults were set; 0 means never.
+    /// TCP connections are closed, and datagrams dropped, after this many bytes, counted over all
+    /// connections since the faults were set; 0 means never.
     pub cut_after: u64,
 }
 
--- a/crates/standin/tests/integration/crashes.rs
+++ b/crates/standin/tests/integration/crashes.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Most engines that the request may crash: three, plus one if a call in progress is retried after
-/// the second crash.
+/// Most engines that the request may crash: three, plus one if a retry starts while its entry knows
+/// of only two crashes.
 const MAX_CRASHES: usize = 4;
 /// Time for all entries to learn of a crash that an agent has seen; engines stay down during it.
 const CRASH_REPORT_TIME: Duration = Duration::from_secs(3);
