--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -34,7 +34,7 @@
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(200);
 /// Probability that an evicted adapter must be loaded again soon, per unit of its demand.
 const RELOAD_CHANCE: f64 = 0.1;
-/// Demand used in place of the victim's when all adapters are in use.
+/// Demand assumed for the victim while all adapters are in use and none can be evicted.
 const PINNED_DEMAND: f64 = 50.0;
 
 /// Fixed properties of an agent and its target.
@@ -50,7 +50,8 @@
     pub load_limit: usize,
     /// Which adapter to evict.
     pub eviction: EvictionPolicy,
-    /// Start of the resident set's counter; higher than any value that an earlier process has sent.
+    /// Initial value of the resident set's counter; higher than any value that an earlier process of this
+    /// target has sent.
     pub residency_base: u64,
 }
 
--- a/crates/core/src/agent/events.rs
+++ b/crates/core/src/agent/events.rs
@@ -14,7 +14,7 @@
 /// The properties of an offer that the agent's decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OfferSummary {
-    /// Number that the agent gave it.
+    /// Number that the agent assigned to the offer.
     pub work: WorkId,
     /// Adapter or service that the request needs.
     pub item: WorkItem,
@@ -33,7 +33,7 @@
 }
 
 impl OfferSummary {
-    /// Whether it runs on `key`.
+    /// Whether the request needs the adapter `key`.
     pub fn needs(&self, key: &AdapterKey) -> bool {
         matches!(&self.item, WorkItem::Completion { key: needed, .. } if needed == key)
     }
@@ -50,7 +50,8 @@
     StoreBusy,
 }
 
-/// Events of an agent.
+/// Inputs of the agent's state machine: messages from entries, the broker, the engine and the platform, and
+/// timers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentEvent {
     /// An entry offers a request.
@@ -109,7 +110,7 @@
     Tick,
 }
 
-/// Actions of an agent.
+/// Outputs of the agent's state machine, which the agent's process carries out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Notify the entry that the request is accepted.
--- a/crates/core/src/agent/loads.rs
+++ b/crates/core/src/agent/loads.rs
@@ -16,7 +16,7 @@
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
 /// Pause after the weight store was busy; doubled with each further refusal of the same load.
 const BUSY_PAUSE: Duration = Duration::from_millis(250);
-/// Upper bound of that pause.
+/// Upper bound of the pause after the weight store was busy.
 const BUSY_PAUSE_LIMIT: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -56,7 +56,7 @@
 }
 
 impl LoadTable {
-    /// Grows with each change of the wanted set.
+    /// Counter that grows with each change of the set of wanted loads.
     pub fn counter(&self) -> u64 {
         self.counter
     }
@@ -115,7 +115,7 @@
         !matches!(phase, LoadPhase::Wanted(_))
     }
 
-    /// The most urgent load with no permit requested, leaving out those that pause after a failure.
+    /// The most urgent load for which no permit is requested. Loads that pause after a failure are skipped.
     pub fn next_unrequested(&self, now: Timestamp) -> Option<(AdapterKey, LoadUrgency)> {
         let due = |load: &LoadRecord| matches!(load.phase, LoadPhase::Wanted(at) if at <= now);
         let due_loads = self.loads.iter().filter(|(_, load)| due(load));
--- a/crates/core/src/agent/residency.rs
+++ b/crates/core/src/agent/residency.rs
@@ -17,8 +17,8 @@
 const FRESH_BONUS: f64 = 0.5;
 /// Time after an eviction within which loading the adapter again counts as thrash.
 const THRASH_WINDOW: Duration = Duration::from_secs(10);
-/// Adapters whose demand is kept in memory before those of little demand are dropped.
-const MEMORY_LIMIT: usize = 4_096;
+/// Number of usage records above which those of adapters with little demand are dropped.
+const USAGE_RECORD_LIMIT: usize = 4_096;
 
 /// How a victim is chosen.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -63,14 +63,14 @@
 }
 
 #[derive(Debug)]
-struct AdapterMemory {
+struct AdapterUsage {
     pins: u32,
     demand: DecayedCount,
     used: Timestamp,
     evicted: Option<Timestamp>,
 }
 
-impl Default for AdapterMemory {
+impl Default for AdapterUsage {
     fn default() -> Self {
         Self {
             pins: 0,
@@ -87,7 +87,7 @@
     slots: usize,
     eviction: EvictionPolicy,
     residents: HashMap<AdapterKey, SlotRecord>,
-    memory: HashMap<AdapterKey, AdapterMemory>,
+    usage: HashMap<AdapterKey, AdapterUsage>,
     counter: u64,
     thrash: u64,
     evictions: u64,
@@ -100,7 +100,7 @@
             slots,
             eviction,
             residents: HashMap::new(),
-            memory: HashMap::new(),
+            usage: HashMap::new(),
             counter: 1,
             thrash: 0,
             evictions: 0,
@@ -155,28 +155,28 @@
 
     /// Number of requests that pin `key`.
     pub fn pins(&self, key: &AdapterKey) -> u32 {
-        self.memory.get(key).map_or(0, |memory| memory.pins)
+        self.usage.get(key).map_or(0, |usage| usage.pins)
     }
 
     /// Pins `key` for one accepted request and counts its demand.
     pub fn pin(&mut self, key: &AdapterKey, now: Timestamp) {
-        let memory = self.memory.entry(key.clone()).or_default();
-        memory.pins += 1;
-        memory.demand.record(now);
-        memory.used = now;
+        let usage = self.usage.entry(key.clone()).or_default();
+        usage.pins += 1;
+        usage.demand.record(now);
+        usage.used = now;
     }
 
     /// Releases one request's pin of `key`.
     pub fn unpin(&mut self, key: &AdapterKey) {
-        if let Some(memory) = self.memory.get_mut(key) {
-            memory.pins = memory.pins.saturating_sub(1);
+        if let Some(usage) = self.usage.get_mut(key) {
+            usage.pins = usage.pins.saturating_sub(1);
         }
     }
 
     /// Records that `key` was used at `now`.
     pub fn touch(&mut self, key: &AdapterKey, now: Timestamp) {
-        if let Some(memory) = self.memory.get_mut(key) {
-            memory.used = now;
+        if let Some(usage) = self.usage.get_mut(key) {
+            usage.used = now;
         }
     }
 
@@ -194,7 +194,8 @@
         if self.residents.len() < self.slots {
             return Some(0.0);
         }
-        let demand = |key: &AdapterKey| self.memory.get(key).map_or(0.0, |m| m.demand.read(now));
+        let demand =
+            |key: &AdapterKey| self.usage.get(key).map_or(0.0, |usage| usage.demand.read(now));
         self.evictable().map(demand).min_by(f64::total_cmp)
     }
 
@@ -203,7 +204,7 @@
         if self.residents.len() >= self.slots || self.residents.contains_key(key) {
             return false;
         }
-        if let Some(evicted) = self.memory.get(key).and_then(|memory| memory.evicted)
+        if let Some(evicted) = self.usage.get(key).and_then(|usage| usage.evicted)
             && now.saturating_sub(evicted) < THRASH_WINDOW
         {
             self.thrash += 1;
@@ -237,10 +238,10 @@
             })?
             .clone();
         self.residents.get_mut(&key)?.phase = SlotPhase::Evicting;
-        self.memory.entry(key.clone()).or_default().evicted = Some(now);
+        self.usage.entry(key.clone()).or_default().evicted = Some(now);
         self.counter += 1;
         self.evictions += 1;
-        self.prune_memory(now);
+        self.prune_usage(now);
         Some(key)
     }
 
@@ -293,25 +294,25 @@
     }
 
     fn worth(&self, key: &AdapterKey, now: Timestamp) -> f64 {
-        let Some(memory) = self.memory.get(key) else { return 0.0 };
+        let Some(usage) = self.usage.get(key) else { return 0.0 };
         match self.eviction {
-            EvictionPolicy::Lru => memory.used.as_secs_f64(),
+            EvictionPolicy::Lru => usage.used.as_secs_f64(),
             EvictionPolicy::Worth => {
                 let loaded = self.residents.get(key).map_or(Duration::ZERO, |slot| slot.loaded);
                 let fresh = now.saturating_sub(loaded) < FRESH_PERIOD;
-                memory.demand.read(now) + if fresh { FRESH_BONUS } else { 0.0 }
+                usage.demand.read(now) + if fresh { FRESH_BONUS } else { 0.0 }
             }
         }
     }
 
-    // Without a bound, the demand of every adapter ever requested would stay in memory: 80,000 of them.
-    fn prune_memory(&mut self, now: Timestamp) {
-        if self.memory.len() <= MEMORY_LIMIT {
+    // Without this, the table would keep a record of every adapter ever requested, up to 80,000.
+    fn prune_usage(&mut self, now: Timestamp) {
+        if self.usage.len() <= USAGE_RECORD_LIMIT {
             return;
         }
         let residents = &self.residents;
-        self.memory.retain(|key, memory| {
-            memory.pins > 0 || residents.contains_key(key) || memory.demand.read(now) > 0.5
+        self.usage.retain(|key, usage| {
+            usage.pins > 0 || residents.contains_key(key) || usage.demand.read(now) > 0.5
         });
     }
 }
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -14,9 +14,9 @@
 const BUCKET_LENGTH: Duration = Duration::from_secs(10);
 /// Number of buckets kept: one hour.
 const BUCKET_COUNT: usize = 360;
-/// Names with a failure count; when they are more, those with the smallest counts are dropped.
+/// Maximum number of names with a failure count; above it, the names with the smallest counts are dropped.
 const NAME_LIMIT: usize = 512;
-/// Names in a report, those with the largest counts.
+/// Number of names in a report: those with the largest counts.
 const TOP_NAMES: usize = 10;
 
 /// Lengths of the windows in a report, in seconds.
@@ -67,7 +67,7 @@
     }
 }
 
-/// One ended request.
+/// How one request ended, as far as the objectives depend on it.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
     /// Its priority, which is its class.
@@ -127,15 +127,15 @@
 /// Burn rate of each budget; 0 while there are no requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BurnRates {
-    /// Of the availability budget.
+    /// Burn rate of the availability budget.
     pub availability: f64,
-    /// Of the first-byte budget.
+    /// Burn rate of the first-byte budget.
     pub first_byte: f64,
-    /// Of the load-stall budget.
+    /// Burn rate of the load-stall budget.
     pub load_stall: f64,
 }
 
-/// Burn report of one entry.
+/// Counts from which an entry's burn rates are computed, and the names and reasons with the most failures.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BurnReport {
     /// Counts by window in seconds, then by priority.
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The report at `now`.
+    /// Builds the report over the windows that end at `now`.
     pub fn report(&self, now: Timestamp) -> BurnReport {
         let windows = BURN_WINDOWS.map(|window| (window, self.window(window, now)));
         let reasons = self.reasons.iter().map(|(reason, count)| ((*reason).to_owned(), *count));
--- a/crates/core/src/config/edit.rs
+++ b/crates/core/src/config/edit.rs
@@ -14,7 +14,7 @@
 pub enum ConfigEdit {
     /// Adds adapters, or versions to adapters that exist; does not change a current version.
     AddAdapters(Vec<AdapterRecord>),
-    /// Makes a version the one used when a request names none.
+    /// Sets an adapter's current version, which is used when a request names none.
     RollOut(AdapterName, AdapterVersion),
     /// Removes one version, or the whole adapter.
     Retire(AdapterName, Option<AdapterVersion>),
--- a/crates/core/src/config/parts.rs
+++ b/crates/core/src/config/parts.rs
@@ -23,7 +23,7 @@
 /// Name of the part with all presets.
 pub const PRESETS_PART: &str = "presets";
 
-/// Length of [`ConfigRoot::recent`].
+/// Maximum length of [`ConfigRoot::recent`].
 pub const RECENT_OPERATIONS: usize = 32;
 
 /// The root of the configuration: the only object that is ever overwritten.
@@ -34,8 +34,8 @@
     /// Identifies the change that wrote this root: a writer whose answer was lost reads the root back to
     /// learn whether its change was applied.
     pub operation: String,
-    /// The operations before it, newest first, so that a writer finds its change even after others have
-    /// written.
+    /// Operations of the preceding revisions, newest first, so that a writer finds its change even after
+    /// others have written.
     #[serde(default)]
     pub recent: Vec<String>,
     /// Who made the change; shown to an operator whose concurrent change was rejected.
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -28,18 +28,20 @@
     time::Duration,
 };
 
-/// Targets that must have ended under a call before it is quarantined. An innocent call may share one crash
-/// by chance, and a second one if its retry runs beside the same poison request; a third is not chance.
+/// Number of targets that must have ended while they ran a call before the call is quarantined. An innocent
+/// call may share one crash by chance, and a second one if its retry runs beside the same poison request; a
+/// third is not chance.
 pub const QUARANTINE_CRASHES: usize = 3;
 /// Time for which a crash counts against a call. Callers give up on a request within a minute or so. A
 /// poison request that is sent once an hour costs three targets each time; a call that was quarantined by
 /// mistake is served again after this time.
 pub const CRASH_TTL: Duration = Duration::from_mins(10);
 
-/// Time for which a completed run clears its call of crashes that are recorded later: the longest time that
-/// a crash takes to be detected and reported.
+/// Time after a completed run in which a newly recorded crash does not count against the call. It is the
+/// longest time that a crash takes to be detected and reported.
 const SURVIVAL_TTL: Duration = Duration::from_secs(10);
-/// Recently completed calls that a router remembers: some 100 a second. Bounds memory at about 50 kB.
+/// Maximum number of recently completed calls that a router remembers: some 100 a second over
+/// [`SURVIVAL_TTL`]. Bounds memory at about 50 kB.
 const SURVIVOR_LIMIT: usize = 1_024;
 
 /// Crash records of a router: its own and those that others reported.
@@ -70,7 +72,7 @@
         &self.own
     }
 
-    /// Records that a target ended while it had these calls. Returns whether the own report has changed.
+    /// Records that a target ended while it ran these calls. Returns whether the own report has changed.
     pub fn record_crash(
         &mut self,
         target: &TargetIncarnation,
@@ -78,7 +80,7 @@
         now: Timestamp,
     ) -> bool {
         let before = self.own.sequence;
-        // Calls that have crashes already come first, so that the others do not evict their records.
+        // Calls with earlier crashes are added first, so that records of the other calls do not evict theirs.
         let mut calls = calls.to_vec();
         calls.sort_by_cached_key(|call| Reverse(self.crashes_under(*call)));
         for &call in &calls {
@@ -99,8 +101,9 @@
         self.own.sequence != before
     }
 
-    /// Drops the oldest record of a call with a single crash, or else the oldest record. Most calls of an
-    /// ended target are innocent, and must not evict a call that ends target after target.
+    /// Drops the oldest record of a call with a single crash; if there is none, drops the oldest record. Most
+    /// calls of an ended target are innocent, and their records must not evict those of a call that ends one
+    /// target after another.
     fn evict_record(&mut self) {
         let mut crashes = self.own.crashes.iter();
         let index = crashes.position(|record| self.crashes_under(record.call) < 2).unwrap_or(0);
@@ -108,8 +111,8 @@
         self.recorded.remove(index);
     }
 
-    /// Records that a run of the call has completed. This clears one of its crashes, and those that are
-    /// recorded within `SURVIVAL_TTL`. Returns whether there was a crash to clear.
+    /// Records that a run of the call has completed. This clears one of its earlier crashes, and the crashes
+    /// that are recorded within `SURVIVAL_TTL` after it. Returns whether there was an earlier crash to clear.
     pub fn record_survival(&mut self, call: CallFingerprint, now: Timestamp) -> bool {
         if self.survivors.len() >= SURVIVOR_LIMIT {
             self.survivors.retain(|_, at| now.saturating_sub(*at) < SURVIVAL_TTL);
@@ -125,8 +128,8 @@
         true
     }
 
-    /// Clears those of these crashes whose calls have completed recently. A crash is detected and reported
-    /// up to seconds after it happened; a call that is sent many times a second has completed by then.
+    /// Clears the crashes in `records` whose calls have completed recently. A crash is detected and reported
+    /// up to seconds after it happened; a call that is sent many times a second has completed again by then.
     fn clear_survivors(&mut self, records: &[CrashRecord], now: Timestamp) {
         for record in records {
             let survived = self.survivors.get(&record.call);
@@ -182,13 +185,13 @@
         self.own.size() == 0 && self.received.iter().all(|report| report.size() == 0)
     }
 
-    /// Number of targets that ended under a call and count against it.
+    /// Number of targets that ended while they ran the call, without those that a completed run cleared.
     pub fn crashes_under(&self, call: CallFingerprint) -> usize {
         self.counted_crashes(call).len()
     }
 
-    /// Whether a call is quarantined and must not be sent to any target: enough targets have ended under it
-    /// for which no other call is the likelier cause.
+    /// Whether a call is quarantined and must not be sent to any target: at least [`QUARANTINE_CRASHES`]
+    /// targets ended while they ran it, and no other call is the likelier cause of these ends.
     pub fn is_quarantined(&self, call: CallFingerprint) -> bool {
         if self.is_empty() {
             return false;
@@ -197,15 +200,15 @@
         if targets.len() < QUARANTINE_CRASHES {
             return false;
         }
-        let unexplained =
-            targets.iter().filter(|target| !self.is_explained(**target, targets.len()));
-        unexplained.count() >= QUARANTINE_CRASHES
+        let attributed =
+            targets.iter().filter(|target| !self.has_likelier_cause(**target, targets.len()));
+        attributed.count() >= QUARANTINE_CRASHES
     }
 
-    /// Whether some call at this ended target has more than `crashes` crashes. A poison request that ends
-    /// target after target leaves many innocent calls with a few crashes each, but none with as many as
-    /// its own.
-    fn is_explained(&self, target: IncarnationHash, crashes: usize) -> bool {
+    /// Whether another call that ran at this ended target has more than `crashes` crashes, and so is the
+    /// likelier cause of the end. A poison request that ends one target after another leaves many innocent
+    /// calls with a few crashes each, but none with as many as its own.
+    fn has_likelier_cause(&self, target: IncarnationHash, crashes: usize) -> bool {
         let records = self.reports().flat_map(|report| &report.crashes);
         let calls: HashSet<CallFingerprint> =
             records.filter(|record| record.target == target).map(|record| record.call).collect();
@@ -231,7 +234,7 @@
         self.received.iter().map(|report| &**report).chain([&self.own])
     }
 
-    /// Targets that ended under the call, without those that a survival cleared.
+    /// Targets that ended while they ran the call, without those that a completed run cleared.
     fn counted_crashes(&self, call: CallFingerprint) -> BTreeSet<IncarnationHash> {
         let of_call = |records: &[CrashRecord]| -> Vec<IncarnationHash> {
             let own = records.iter().filter(|record| record.call == call);
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -17,11 +17,11 @@
     time::Duration,
 };
 
-/// Crashes, and likewise survivals, that a report holds: enough for the calls that one router has at some
-/// ten targets which end together. Bounds a report at about 13 kB on the wire.
+/// Maximum number of crashes, and of survivals, in a report. It suffices for the calls of one router when some
+/// ten targets end at the same time, and bounds a report at about 13 kB on the wire.
 pub const RECORD_LIMIT: usize = 256;
-/// Records that a router keeps over all reports: 1 MB of memory. Far more than are reported within
-/// [`CRASH_TTL`] unless all targets of the fleet crash repeatedly.
+/// Maximum number of records that a router keeps over all reports: 1 MB of memory. Routers report far fewer
+/// within [`CRASH_TTL`], unless all targets of the fleet crash repeatedly.
 const LEDGER_LIMIT: usize = 32_768;
 /// Time after which a report that was not renewed is dropped: its sender is gone or has nothing to report,
 /// because a sender also renews its report when crashes expire.
@@ -30,8 +30,8 @@
 /// Stable hash of a target's incarnation, the same in all processes.
 pub type IncarnationHash = u64;
 
-/// A call that was at a target. Human-readable formats hold it as text, because JSON numbers may lose
-/// digits beyond 53 bits.
+/// A call and an incarnation of a target that ran it. Human-readable formats such as JSON hold the record as
+/// text, because JSON numbers may lose digits beyond 53 bits.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CrashRecord {
     /// Fingerprint of the call.
@@ -41,7 +41,7 @@
 }
 
 impl CrashRecord {
-    /// Records a call at an incarnation of a target.
+    /// Creates the record of a call that ran at this incarnation of a target.
     pub fn new(call: CallFingerprint, target: &TargetIncarnation) -> Self {
         Self { call, target: target.stable_hash() }
     }
@@ -93,18 +93,18 @@
 pub struct CrashReport {
     /// Name of the router or agent.
     pub router: Arc<str>,
-    /// Boot id of the sender's current start.
+    /// Boot id of the sender's process.
     pub boot: BootId,
     /// Grows with each change; starts again at 0 with a new `boot`.
     pub sequence: u32,
-    /// Calls that were at targets when these ended.
+    /// Calls that were running at targets when the targets ended.
     pub crashes: Vec<CrashRecord>,
     /// Crashes that no longer count, one for each later run of the call that completed.
     pub survivals: Vec<CrashRecord>,
 }
 
 impl CrashReport {
-    /// Adds the records that an earlier start of the same router had reported.
+    /// Adds the records that an earlier process of the same router had reported.
     pub fn add_earlier(&mut self, earlier: &Self) {
         add_missing(&mut self.crashes, &earlier.crashes);
         add_missing(&mut self.survivals, &earlier.survivals);
@@ -139,7 +139,7 @@
     taken: Timestamp,
 }
 
-/// The newest report of each boot id, bounded in number of records and in age.
+/// The newest report of each boot id. The total number of records and the age of a report are bounded.
 #[derive(Debug, Default)]
 pub struct CrashReports {
     reports: HashMap<BootId, ReceivedReport>,
--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -9,14 +9,15 @@
 /// Time for which an unresolved run is kept. A target that stops sending heartbeats leaves the target list
 /// after three missed ones, some 4 s; only then is it known that the run was under way at its end.
 const UNRESOLVED_RUN_TTL: Duration = Duration::from_secs(6);
-/// Unresolved runs that a router remembers; bounds memory at about 30 kB.
+/// Maximum number of unresolved runs that a router remembers; bounds memory at about 30 kB.
 const UNRESOLVED_RUN_LIMIT: usize = 512;
-/// Targets whose last answer times a router remembers: more than a fleet has.
+/// Maximum number of targets whose last answer times a router remembers: more than a fleet has.
 const ANSWER_LIMIT: usize = 2_048;
-/// Ended incarnations that a router remembers, for calls that break off shortly after the first one.
+/// Maximum number of ended incarnations that a router remembers. They are needed for calls that break off
+/// after the end of their target is known.
 const ENDED_LIMIT: usize = 64;
 
-/// State of a target's incarnation, as far as is known.
+/// Known state of a target's incarnation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IncarnationPhase {
     /// No sign that it has ended.
@@ -42,12 +43,12 @@
 struct TrackedRun {
     target: TargetIncarnation,
     run: UnresolvedRun,
-    /// When this process lost sight of the run.
+    /// Time from which this process could no longer observe the run.
     closed: Timestamp,
 }
 
-/// Unresolved runs of this process's calls, with what decides which of them were under way when a target
-/// ended.
+/// Unresolved runs of this process's calls, and the times of answers and ends that decide which of the runs
+/// were under way when a target ended.
 #[derive(Debug, Default)]
 pub struct UnresolvedRuns {
     runs: VecDeque<TrackedRun>,
@@ -58,7 +59,7 @@
 }
 
 impl UnresolvedRuns {
-    /// Records that a target answered: it has survived all runs that broke off before.
+    /// Records that a target answered, so no run that broke off before has ended it.
     pub fn note_answer(&mut self, target: &TargetIncarnation, now: Timestamp) {
         if self.answers.len() >= ANSWER_LIMIT {
             self.answers.retain(|_, at| now.saturating_sub(*at) < UNRESOLVED_RUN_TTL);
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Adds a run whose outcome is unknown. Returns the time at which the target ended instead, if it is
-    /// known to have ended.
+    /// Adds a run whose outcome is unknown. If the target is known to have ended, the run is not added, and
+    /// the time at which the target ended is returned.
     pub fn add(
         &mut self,
         target: &TargetIncarnation,
@@ -91,9 +92,9 @@
 
     /// Records that the target has ended, and returns the calls that may have ended it.
     ///
-    /// The time of its end is that of the first run which broke off after its last answer. Runs that broke
-    /// off earlier are not suspects, nor are calls sent later: a proxy may still accept connections for a
-    /// target that has ended.
+    /// The target counts as ended at the time when the first run broke off after its last answer. Runs that
+    /// broke off earlier are not suspects. Calls sent later are not suspects either: a proxy may still accept
+    /// connections for a target that has ended.
     pub fn take_ended(
         &mut self,
         target: &TargetIncarnation,
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -18,19 +18,19 @@
 };
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-/// Requests a second for one adapter per preferred target; above that, the next target in order is
-/// preferred too.
+/// Requests per second for an adapter that one preferred target is expected to take; a higher rate adds the
+/// next target in order to the preferred ones.
 const RATE_PER_PREFERRED: f64 = 4.0;
-/// Preferred targets in addition to those that the demand requires, for when the first ones are full or
+/// Preferred targets in addition to those that the demand requires, for when the first ones are saturated or
 /// gone.
 const SPARE_PREFERRED: usize = 2;
-/// Most preferred targets of one adapter.
+/// Maximum number of preferred targets of one adapter.
 const PREFERRED_LIMIT: usize = 16;
-/// Adapters whose order of preferred targets is cached.
+/// Maximum number of adapters whose order of preferred targets is cached.
 const ORDER_LIMIT: usize = 8_192;
-/// Share of the mean load wait that is added to the cost of a target for each rank in the order of
-/// preferred targets, unless it holds the adapter. So requests for a rare adapter go to one target,
-/// and a second copy is only loaded if the first choice is worse by more than noise.
+/// Share of the mean load wait that is added to a target's cost for each rank in the order of preferred
+/// targets, unless the target holds the adapter. So requests for a rare adapter go to one target, and a
+/// second copy is only loaded if the cost of the first choice is higher by more than noise.
 const RANK_SHARE: f64 = 0.25;
 /// Estimate of the wait for a load until a target has reported.
 const INITIAL_LOAD_WAIT: Duration = Duration::from_millis(500);
@@ -254,7 +254,8 @@
             |index: &usize| self.targets.view(*index).record.region == self.options.region;
         let in_region: Vec<usize> = open.iter().copied().filter(own_region).collect();
         let chosen = if in_region.is_empty() { open } else { in_region };
-        // A target without a report counts as good as the best, because only an offer makes it report.
+        // A target that has not reported is assumed to have the shortest load wait of all: it reports only
+        // after it has received an offer.
         let best = chosen.iter().filter_map(|&index| self.targets.view(index).load_wait()).min();
         let default_load_wait = best.unwrap_or(INITIAL_LOAD_WAIT);
         let ranked = chosen.into_iter().enumerate();
--- a/crates/core/src/entry/targets.rs
+++ b/crates/core/src/entry/targets.rs
@@ -13,7 +13,7 @@
 
 /// Time for which a target gets no offers after a failure; doubled with each consecutive failure.
 const EJECTION: Duration = Duration::from_millis(500);
-/// Upper bound of that time.
+/// Upper bound of the time without offers after failures.
 const EJECTION_LIMIT: Duration = Duration::from_secs(16);
 /// Longest time for which a target gets no offers after a refusal, whatever `retry_after` it sent.
 const PAUSE_LIMIT: Duration = Duration::from_secs(1);
@@ -134,8 +134,8 @@
         if report.residents.take().is_some() {
             self.loading = report.loading.drain(..).collect();
         } else if report.residency != self.report.residency {
-            // The report answers an offer that carried another counter than the entry has now, so it
-            // lacks the set. Keep the entry's counter, so that the next report includes a changed set.
+            // The report answers an offer that was sent with another counter than the entry has now, so it
+            // leaves out the resident set. Keep the entry's counter, so that the next report includes the set.
             report.residency = self.report.residency;
         }
         self.sent_since_report = 0;
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -58,7 +58,7 @@
 }
 
 impl RecordChange {
-    /// The key that it is about.
+    /// Key of the record that the change inserts or removes.
     pub fn key(&self) -> &RecordKey {
         match self {
             Self::Insert(key, _) | Self::Remove(key, _) => key,
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -20,7 +20,7 @@
 pub type ConfigRevision = u64;
 /// Name of a customer.
 pub type CustomerName = Arc<str>;
-/// Name of a preset.
+/// Name of a preset: a set of weights and limits that operators put in force.
 pub type PresetName = Arc<str>;
 /// Name of a region.
 pub type RegionName = Arc<str>;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -43,7 +43,7 @@
     EntryBusy,
     /// The agent holds no lease for its target.
     NoLease,
-    /// The request is quarantined: targets have ended while they ran it.
+    /// The request is quarantined because several targets ended while they ran it.
     HeldBack,
 }
 
--- a/crates/core/src/permits.rs
+++ b/crates/core/src/permits.rs
@@ -3,7 +3,7 @@
 use crate::{ids::Timestamp, priority::LoadUrgency, protocol::PermitRequest};
 use std::time::Duration;
 
-/// Time after which a granted permit counts as returned, in case its holder has failed.
+/// Time after which a granted permit counts as returned, because its holder may have failed.
 const PERMIT_TTL: Duration = Duration::from_secs(15);
 
 /// Order in which waiting requests are granted.
--- a/crates/core/src/stats.rs
+++ b/crates/core/src/stats.rs
@@ -19,7 +19,7 @@
         Self { seconds: initial.as_secs_f64(), is_initial: true }
     }
 
-    /// Adds one sample.
+    /// Moves the mean towards `sample`; the first sample replaces the initial value.
     pub fn record(&mut self, sample: Duration) {
         if std::mem::take(&mut self.is_initial) {
             self.seconds = sample.as_secs_f64();
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,4 +1,4 @@
-//! Records by which agents announce their targets.
+//! Records with which agents announce their targets on the platform.
 
 use crate::ids::{BaseName, RegionName, ServiceName, TargetName, ZoneName};
 use serde::{Deserialize, Serialize};
