--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -41,11 +41,11 @@
 /// Round-trip times from this entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneRoundTrips {
-    /// To its own availability zone.
+    /// To targets in the entry's own availability zone.
     pub own_zone: Duration,
-    /// To another zone of its region.
+    /// To targets in another zone of the entry's region.
     pub other_zone: Duration,
-    /// To another region.
+    /// To targets in another region.
     pub other_region: Duration,
 }
 
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -77,7 +77,7 @@
     pub body: Bytes,
 }
 
-/// First frames of streams to an entry.
+/// First frame of a stream that an agent or another entry opens to an entry; it states the request.
 ///
 /// Each permit is requested on a stream of its own; the end of the stream returns the permit, so a
 /// broker does not depend on agents to return permits.
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retry budget: bounds retries to a fraction of the answered requests, so that they cannot overload
 //! the targets.
 
-/// Largest balance of retries.
+/// Maximum number of unused retries that the budget keeps.
 const RETRY_RESERVE: f64 = 20.0;
 
 /// Allows retries as a fraction of recently answered requests.
--- a/crates/core/tests/core/agent/history.rs
+++ b/crates/core/tests/core/agent/history.rs
@@ -181,7 +181,7 @@
                 }
             }
             Step::Missing(pick) => {
-                // Only a restart that the agent has not seen yet makes an engine lose an adapter.
+                // An engine loses an adapter only by a restart that the agent has not detected yet.
                 if let Some(work) = choose(&self.running, pick) {
                     self.running.remove(&work);
                     let lost = self.offers[&work].clone();
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -40,8 +40,9 @@
     (0..count).map(with_crash).collect()
 }
 
-/// Each of 330 routers has seen one crash only. A router with the reports of any three quarantines the call,
-/// whatever the order and number of deliveries, and no call that shared one of the crashes.
+/// Each of 330 routers has recorded only one crash. A router that has the reports of any three of them
+/// quarantines the poison request, even if reports arrive twice. It quarantines none of the innocent calls that
+/// were at the same targets.
 #[test]
 fn three_reports_of_many_routers_suffice() {
     let routers = reporting_routers(330);
@@ -73,8 +74,8 @@
     assert_eq!(receiver.crashes_under(POISON), 1);
 }
 
-/// Guards against an older report that arrives after a newer one, as with reordered datagrams or reads of a
-/// stale copy, and takes back crashes.
+/// Guards against crashes that a router forgets because an older report arrives after a newer one, as with
+/// reordered datagrams or reads of a stale copy.
 #[test]
 fn stale_reports_are_ignored() {
     let mut sender = ledger(1);
@@ -106,8 +107,8 @@
     assert!(receiver.is_quarantined(POISON));
 }
 
-/// Callers poll the same path with the same empty body, so their calls have one fingerprint. Targets end
-/// under them by chance; the polls in between complete, and each of them clears a crash.
+/// Callers poll the same path with the same empty body, so their calls have one fingerprint. Targets end by
+/// chance while they run such a poll. The polls in between complete, and each of them clears a crash.
 #[test]
 fn a_call_that_survives_is_cleared() {
     let poll = POISON;
@@ -156,7 +157,7 @@
     for number in QUARANTINE_CRASHES..2 * QUARANTINE_CRASHES {
         alone.record_crash(&incarnation(number), &[poll], NOW + Duration::from_mins(1));
     }
-    assert!(alone.is_quarantined(poll), "a run that completed a minute earlier clears nothing");
+    assert!(alone.is_quarantined(poll), "a run that completed a minute earlier clears no crash");
 }
 
 /// A call was quarantined by mistake. It is served again once its crashes have expired, at the router that
@@ -202,7 +203,8 @@
     assert!(router.is_quarantined(POISON));
 }
 
-/// Reports with very many boot ids arrive, as from a fleet that restarts repeatedly for a day.
+/// Guards against memory that grows without bound when reports with very many boot ids arrive, as from a fleet
+/// that restarts repeatedly for a day.
 #[test]
 fn memory_is_bounded_over_all_reports() {
     let mut receiver = ledger(0);
@@ -261,9 +263,9 @@
     is_suspect: bool,
 }
 
-/// A target loses an answer at 100 ms and answers others until 500 ms; it ends at 600 ms under the poison
-/// request. Calls that are sent to it later break off too, because the list still holds it. Suspects are
-/// only the calls that were there at its end, and those whose callers had left before.
+/// A target loses an answer at 100 ms and answers other calls until 500 ms; the poison request ends it at
+/// 600 ms. Calls that are sent to it later break off too, because the list of targets still contains it. Only
+/// the calls that ran at its end, and those whose callers had left before, are suspects.
 #[test]
 fn only_calls_at_the_end_are_suspects() {
     let cases = [
@@ -289,10 +291,10 @@
 }
 
 /// A request ends five targets within a second, before it is quarantined. Another request, which its caller
-/// retried at once each time, was at three of these targets. It is not quarantined, because the first one
-/// explains all its crashes. When it ends three targets by itself, it is quarantined as well.
+/// retried at once each time, ran at three of these targets. It is not quarantined, because the first request
+/// is the likelier cause of all its crashes. When it ends three targets by itself, it is quarantined as well.
 #[test]
-fn a_likelier_cause_clears_the_others() {
+fn crashes_with_a_likelier_cause_do_not_count() {
     let companion = 8;
     let mut router = ledger(1);
     for number in 0..5 {
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -138,8 +138,8 @@
     }
 }
 
-/// A target that refused because it drains gets no more offers, even if the platform's list does not
-/// show it as draining yet; one that failed gets offers again after a pause, one request first.
+/// A target that refused an offer because it drains gets no more offers, even if the platform's list does not
+/// show it as draining yet. A target that failed gets offers again after a pause, at first only one.
 #[test]
 fn draining_target_stays_excluded_and_failed_one_reopens() {
     let records: Vec<_> = (0..2).map(|i| target(i, "kandy", "central")).collect();
@@ -203,7 +203,7 @@
 }
 
 /// Only one of three targets has reported so far, and it loads fast. The others must not look worse
-/// because they have not reported: an adapter goes to its own first choice.
+/// because they have not reported: requests for an adapter go to the adapter's first choice by hash.
 #[test]
 fn targets_that_have_not_reported_are_not_avoided() {
     let mut counts = BTreeMap::new();
--- a/crates/core/tests/core/permits.rs
+++ b/crates/core/tests/core/permits.rs
@@ -19,8 +19,8 @@
     LoadUrgency { importance, waiters, waited: Duration::ZERO }
 }
 
-/// For any sequence of requests and ends of loads: at most three loads are under way, and at most four
-/// begin per second on average, in addition to the one token of a new pool.
+/// For any sequence of permit requests and ended loads: at most three loads are under way, and on average at
+/// most four loads begin per second, in addition to the one token of a new pool.
 #[test]
 fn limits_are_never_exceeded() {
     fn property(steps: Vec<(u8, u16)>) -> bool {
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -28,7 +28,7 @@
     io::IsTerminal,
 };
 
-/// Maximum number of differences that a lost race lists.
+/// Maximum number of differences that the error about a concurrent change lists.
 const SHOWN_CHANGES: usize = 10;
 
 /// Why a command failed; each kind has its own exit status.
@@ -60,7 +60,7 @@
 
 /// Settings and clients shared by the commands that use the platform.
 pub struct CommandContext<'a> {
-    /// Checked settings of the command line.
+    /// Validated settings of the command line.
     pub settings: &'a ControlSettings,
     /// Client of the platform's object API.
     pub platform: PlatformClient,
@@ -71,14 +71,14 @@
 }
 
 /// Runs one command.
-pub async fn carry_out(
+pub async fn execute(
     settings: &ControlSettings,
     command: ControlCommand,
 ) -> Result<(), CommandError> {
     match &command {
-        ControlCommand::Losses { files } => return losses::carry_out(files, settings.json),
+        ControlCommand::Losses { files } => return losses::execute(files, settings.json),
         ControlCommand::Customers { routers } => {
-            return customers::carry_out(routers, settings.json).await;
+            return customers::execute(routers, settings.json).await;
         }
         _ => {}
     }
@@ -90,16 +90,14 @@
     let store = ConfigStore::new(platform.clone());
     let context = CommandContext { settings, platform, store, http };
     match command {
-        ControlCommand::Adapter(command) => adapters::carry_out(&context, command).await,
-        ControlCommand::Caller(command) => callers::carry_out(&context, command).await,
-        ControlCommand::Service(command) => services::carry_out(&context, command).await,
-        ControlCommand::Preset(command) => presets::carry_out(&context, command).await,
-        ControlCommand::Report { html } => report::carry_out(&context, html.as_deref()).await,
-        ControlCommand::Losses { files } => losses::carry_out(&files, settings.json),
-        ControlCommand::Customers { routers } => {
-            customers::carry_out(&routers, settings.json).await
-        }
-        ControlCommand::Status => status::carry_out(&context).await,
+        ControlCommand::Adapter(command) => adapters::execute(&context, command).await,
+        ControlCommand::Caller(command) => callers::execute(&context, command).await,
+        ControlCommand::Service(command) => services::execute(&context, command).await,
+        ControlCommand::Preset(command) => presets::execute(&context, command).await,
+        ControlCommand::Report { html } => report::execute(&context, html.as_deref()).await,
+        ControlCommand::Losses { files } => losses::execute(&files, settings.json),
+        ControlCommand::Customers { routers } => customers::execute(&routers, settings.json).await,
+        ControlCommand::Status => status::execute(&context).await,
     }
 }
 
--- a/crates/ctl/src/commands/adapters.rs
+++ b/crates/ctl/src/commands/adapters.rs
@@ -29,7 +29,7 @@
     }
 }
 
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     context: &CommandContext<'_>,
     command: AdapterCommand,
 ) -> Result<(), CommandError> {
--- a/crates/ctl/src/commands/callers.rs
+++ b/crates/ctl/src/commands/callers.rs
@@ -22,7 +22,7 @@
     }
 }
 
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     context: &CommandContext<'_>,
     command: CallerCommand,
 ) -> Result<(), CommandError> {
--- a/crates/ctl/src/commands/customers.rs
+++ b/crates/ctl/src/commands/customers.rs
@@ -94,7 +94,7 @@
 }
 
 /// Prints the table of customers for the routers at these metrics addresses; fails if one did not answer.
-pub async fn carry_out(routers: &[SocketAddr], json: bool) -> Result<(), CommandError> {
+pub async fn execute(routers: &[SocketAddr], json: bool) -> Result<(), CommandError> {
     let client = HttpClient::new();
     let (mut pages, mut unreachable) = (Vec::new(), Vec::new());
     for router in routers {
--- a/crates/ctl/src/commands/losses.rs
+++ b/crates/ctl/src/commands/losses.rs
@@ -142,7 +142,7 @@
 }
 
 /// Prints the table of causes for the given log files, or for standard input if there are none.
-pub fn carry_out(files: &[PathBuf], json: bool) -> Result<(), CommandError> {
+pub fn execute(files: &[PathBuf], json: bool) -> Result<(), CommandError> {
     let rows = if files.is_empty() {
         sum_losses(read_lines(io::stdin().lock()))
     } else {
--- a/crates/ctl/src/commands/presets.rs
+++ b/crates/ctl/src/commands/presets.rs
@@ -38,7 +38,7 @@
     }
 }
 
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     context: &CommandContext<'_>,
     command: PresetCommand,
 ) -> Result<(), CommandError> {
--- a/crates/ctl/src/commands/report.rs
+++ b/crates/ctl/src/commands/report.rs
@@ -68,7 +68,7 @@
     }
 }
 
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     context: &CommandContext<'_>,
     html: Option<&Path>,
 ) -> Result<(), CommandError> {
--- a/crates/ctl/src/commands/services.rs
+++ b/crates/ctl/src/commands/services.rs
@@ -21,7 +21,7 @@
     format!("{} {} {retry}", route.method, route.path_prefix)
 }
 
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     context: &CommandContext<'_>,
     command: ServiceCommand,
 ) -> Result<(), CommandError> {
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -80,7 +80,7 @@
     }
 }
 
-pub(super) async fn carry_out(context: &CommandContext<'_>) -> Result<(), CommandError> {
+pub(super) async fn execute(context: &CommandContext<'_>) -> Result<(), CommandError> {
     let root = context.store.root().await?.and_then(|object| object.value).unwrap_or_default();
     let rows = read_processes(context).await?;
     if context.settings.json {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -36,7 +36,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(commands::carry_out(&settings, arguments.command)) {
+    match runtime.block_on(commands::execute(&settings, arguments.command)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("plantainctl: {error}");
--- a/crates/net/src/caller.rs
+++ b/crates/net/src/caller.rs
@@ -1,7 +1,8 @@
 //! Callers' connections, with detection of a caller that disconnects while its request is being answered.
 //!
 //! The HTTP server stops reading while its buffer holds bytes that the caller sent early, such as an empty line or
-//! the next request, and so does not see the end of the connection behind them. A watch reads ahead in its place.
+//! the next request, and so does not see the end of the connection behind them. [`CallerWatch`] therefore reads
+//! ahead of the server.
 
 use bytes::{Buf, BytesMut};
 use std::{
@@ -142,7 +143,7 @@
     fn poll_event(&mut self, context: &mut Context<'_>) -> Poll<CallerEvent> {
         let mut reader = lock(&self.inbound);
         if reader.is_end_delivered {
-            // The server has seen the end itself and closes the connection.
+            // The server has read the end of the stream itself and closes the connection.
             return Poll::Pending;
         }
         if reader.end.is_some() {
--- a/crates/net/src/config_store.rs
+++ b/crates/net/src/config_store.rs
@@ -14,7 +14,7 @@
 use std::{collections::BTreeMap, fmt, sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Attempts to read back a root whose write got no answer, or to write a part.
+/// Maximum attempts to read back a root whose write got no answer, and maximum attempts to write a part.
 const READ_BACK_ATTEMPTS: u32 = 20;
 /// Pause between these attempts.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(250);
