--- a/crates/core/src/agent/loads.rs
+++ b/crates/core/src/agent/loads.rs
@@ -10,7 +10,7 @@
 
 /// Estimate of a load's duration until the first load has ended.
 const INITIAL_LOAD_TIME: Duration = Duration::from_millis(800);
-/// Loads of one adapter that may fail before its waiters are refused.
+/// Number of failed loads of one adapter after which the requests that wait for it are refused.
 const ATTEMPT_LIMIT: u32 = 2;
 /// Pause after a failed load.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -14,7 +14,8 @@
 const BUCKET_LENGTH: Duration = Duration::from_secs(10);
 /// Number of buckets kept: one hour.
 const BUCKET_COUNT: usize = 360;
-/// Maximum number of names with a failure count; above it, the names with the smallest counts are dropped.
+/// Maximum number of names with a count. When a further name arrives, all names whose counts do not exceed the
+/// median are dropped.
 const NAME_LIMIT: usize = 512;
 /// Number of names in a report: those with the largest counts.
 const TOP_NAMES: usize = 10;
@@ -98,7 +99,7 @@
 }
 
 impl BurnCounts {
-    /// Adds other counts.
+    /// Adds the counts of another bucket or entry.
     pub fn add(&mut self, other: &Self) {
         self.ended += other.ended;
         self.failed += other.failed;
@@ -154,7 +155,7 @@
     classes: [BurnCounts; 3],
 }
 
-/// Counts of the last hour, in bounded memory.
+/// Counts of the last hour by class, and counts by name and reason since the start, in bounded memory.
 #[derive(Debug, Default)]
 pub struct BurnLedger {
     buckets: VecDeque<BurnBucket>,
@@ -225,7 +226,7 @@
     }
 }
 
-/// Counts by name, bounded by dropping the smallest counts.
+/// Failures and stalls by name, for at most [`NAME_LIMIT`] names.
 #[derive(Debug, Default)]
 struct NameCounts(HashMap<String, u64>);
 
--- a/crates/core/src/config/parts.rs
+++ b/crates/core/src/config/parts.rs
@@ -52,7 +52,7 @@
     pub retired: Vec<String>,
 }
 
-/// Reference to one content of a part.
+/// Reference to the object that holds a part's content.
 ///
 /// The object's name contains the operation that wrote it, so no two operations share an object:
 /// deleting a retired object cannot remove one that a concurrent operation is about to reference.
--- a/crates/core/src/config/records.rs
+++ b/crates/core/src/config/records.rs
@@ -14,7 +14,7 @@
 pub const SHARE_LIMIT: u32 = 1_000;
 /// Longest deadline that a preset may set, in milliseconds.
 pub const DEADLINE_LIMIT_MS: u64 = 600_000;
-/// Most versions that one adapter may keep.
+/// Maximum number of versions of one adapter.
 pub const VERSION_LIMIT: usize = 64;
 
 /// An adapter and the versions of it that callers may use.
--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -1,9 +1,9 @@
 //! Detection of poison requests: requests that crash the targets which run them.
 //!
-//! A caller sends such a request again under a new id, through any router, and it crashes target after
-//! target together with their other calls. A router rarely sees more than one of these crashes, and cannot
-//! know which of the broken calls caused it. So each router reports which calls were at a target when it
-//! ended; a call that was at [`QUARANTINE_CRASHES`] ended targets is not sent to any target again.
+//! A caller sends such a request again under a new id, through any router, and it crashes one target after
+//! another; the other calls at these targets fail too. A router rarely sees more than one of these crashes, and
+//! cannot know which of the broken calls caused it. So each router reports which calls were at a target when
+//! it ended; a call that was at [`QUARANTINE_CRASHES`] ended targets is not sent to any target again.
 //!
 //! A report holds all records of its sender and is identified by the sender's boot id and a sequence
 //! number, so lost, late and duplicate reports only cost time. A restarted router reads all reports from
--- a/crates/core/src/crashes/runs.rs
+++ b/crates/core/src/crashes/runs.rs
@@ -6,8 +6,8 @@
     time::Duration,
 };
 
-/// Time for which an unresolved run is kept. A target that stops sending heartbeats leaves the target list
-/// after three missed ones, some 4 s; only then is it known that the run was under way at its end.
+/// Time for which an unresolved run is kept. A target that stops sending heartbeats leaves the list of targets
+/// after three missed heartbeats, some 4 s; only then is it known that the target ended while it had the run.
 const UNRESOLVED_RUN_TTL: Duration = Duration::from_secs(6);
 /// Maximum number of unresolved runs that a router remembers; bounds memory at about 30 kB.
 const UNRESOLVED_RUN_LIMIT: usize = 512;
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -17,18 +17,18 @@
         Self { half_life, value: 0.0, updated: Duration::ZERO }
     }
 
-    /// Counts one more at `now`.
+    /// Adds 1 at `now`.
     pub fn record(&mut self, now: Timestamp) {
         self.add(1.0, now);
     }
 
-    /// Counts `count` more at `now`.
+    /// Adds `count` at `now`.
     pub fn add(&mut self, count: f64, now: Timestamp) {
         self.value = self.read(now) + count;
         self.updated = now;
     }
 
-    /// Time since the last count.
+    /// Time since the last addition.
     pub fn age(&self, now: Timestamp) -> Duration {
         now.saturating_sub(self.updated)
     }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -9,7 +9,7 @@
 /// Fingerprint of a call by method, host, path with query, and body.
 ///
 /// Headers are left out, because ids and time limits differ between attempts. So is the caller, because
-/// the target reads the same whoever sends it.
+/// the target receives the same request from every caller.
 pub fn call_fingerprint(method: &str, host: &str, path: &str, body: &[u8]) -> CallFingerprint {
     let mut hasher = Xxh3::new();
     for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -131,8 +131,8 @@
 
 /// Callers poll a path many times a second while another request ends three targets, each with a poll in
 /// flight. The ends are detected only seconds later, when the targets leave the list, and all three crashes
-/// are reported at once. Polls have completed meanwhile, at the sender or the receiver of the report, and
-/// neither of them may quarantine the polls.
+/// are reported at once. Polls have completed in the meantime, at the sender or at the receiver of the report.
+/// Neither router may quarantine the polls.
 #[test]
 fn a_recently_completed_call_is_no_suspect() {
     let poll = POISON;
@@ -160,8 +160,8 @@
     assert!(alone.is_quarantined(poll), "a run that completed a minute earlier clears no crash");
 }
 
-/// A call was quarantined by mistake. It is served again once its crashes have expired, at the router that
-/// recorded them and at the others, also at one that no longer receives reports.
+/// A call was quarantined by mistake. It is served again once its crashes have expired, both at the router that
+/// recorded them and at the other routers, even at one that no longer receives reports.
 #[test]
 fn crashes_expire() {
     let mut sender = ledger(1);
@@ -184,8 +184,8 @@
     assert!(isolated.is_empty());
 }
 
-/// Engines end one after the other with hundreds of innocent calls each. The report stays bounded, and the
-/// calls that shared the crashes do not evict the poison request.
+/// Engines end one after the other while each runs hundreds of innocent calls. The report stays bounded, and
+/// records of the innocent calls do not evict those of the poison request.
 #[test]
 fn innocent_calls_do_not_evict_the_poison_request() {
     let mut router = ledger(1);
