--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -74,7 +74,7 @@
     stall: Option<Duration>,
 }
 
-/// State of one agent.
+/// State of one agent: its accepted requests, its target, and the adapters resident or wanted there.
 #[derive(Debug)]
 pub struct AgentState {
     options: AgentOptions,
@@ -186,8 +186,8 @@
         self.residents.pins(key)
     }
 
-    /// The state to send back to an entry; includes the residents only if `known_residency`, the entry's
-    /// counter, is out of date.
+    /// Builds the report for an entry. It includes the resident set only if `known_residency`, the counter of the
+    /// last set that the entry has received, is out of date.
     pub fn report(&self, known_residency: u64, now: Timestamp) -> TargetReport {
         let changes = self.residents.counter() + self.loads.counter();
         let residency = self.options.residency_base + changes;
--- a/crates/core/src/cost.rs
+++ b/crates/core/src/cost.rs
@@ -20,7 +20,7 @@
 pub struct TargetEstimate {
     /// Expected wait for the adapter.
     pub load_stall: Duration,
-    /// Requests running or waiting there, including this entry's offers in flight.
+    /// Requests running or waiting at the target, including this entry's offers in flight.
     pub occupied: u32,
     /// Requests that the target runs at once.
     pub batch_limit: u32,
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -99,7 +99,7 @@
     pub sequence: u32,
     /// Calls that were running at targets when the targets ended.
     pub crashes: Vec<CrashRecord>,
-    /// Crashes that no longer count, one for each later run of the call that completed.
+    /// Crashes that no longer count because a run of the call has completed; a run clears one earlier crash.
     pub survivals: Vec<CrashRecord>,
 }
 
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -90,7 +90,7 @@
     pub target: TargetName,
     /// Address of its agent.
     pub peer: SocketAddr,
-    /// Counter of the last resident set seen from it.
+    /// Counter of the last resident set that the entry has received from the target.
     pub known_residency: u64,
 }
 
--- a/crates/core/src/entry/targets.rs
+++ b/crates/core/src/entry/targets.rs
@@ -105,7 +105,7 @@
             Some(_) => load_wait + self.report.slot_cost,
             None => Duration::ZERO,
         };
-        // The report counts own requests too, but not those sent after it.
+        // The report includes this entry's requests, but not those that were sent after it.
         let occupied = self.report.running + self.report.queued + self.sent_since_report;
         TargetEstimate {
             load_stall,
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -13,7 +13,7 @@
 /// Why an answer may not be delivered.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EventError {
-    /// An event names another model, given here, or none.
+    /// An event names a model other than the requested one; holds that name, which is empty if there is none.
     WrongModel(String),
     /// An event is not valid JSON, or is too large.
     Malformed(String),
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -48,7 +48,7 @@
 }
 
 impl AdapterKey {
-    /// Joins a name and a version.
+    /// Creates the key of one version of an adapter.
     pub fn new(name: impl Into<AdapterName>, version: AdapterVersion) -> Self {
         Self { name: name.into(), version }
     }
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -61,7 +61,7 @@
     pub known_residency: u64,
     /// Adapter or service that the request needs.
     pub work: WorkItem,
-    /// Whether running it twice does no harm.
+    /// Whether running the request twice does no harm.
     pub idempotent: bool,
     /// Priority of the request.
     pub priority: Priority,
--- a/crates/core/tests/core/agent.rs
+++ b/crates/core/tests/core/agent.rs
@@ -159,7 +159,7 @@
 /// The queue is full of lower-priority work when an upper-priority request arrives: the newest of the
 /// lower ones is refused at once with a `retry_after`, and the upper one gets its slot.
 #[test]
-fn upper_priority_takes_the_place_of_lower_work() {
+fn upper_priority_request_displaces_lower_work() {
     let mut state = AgentState::new(AgentOptions { batch_limit: 1, ..options() });
     state.handle(AgentEvent::TargetUp(true), Duration::ZERO);
     state.handle(AgentEvent::Configured { revision: 1, queue_limit: 4 }, Duration::ZERO);
@@ -190,7 +190,7 @@
 /// Guards against adapters that evict each other in turn: an adapter that was just loaded is worth more
 /// than its demand for a few seconds, so the next load evicts an older adapter of equal demand.
 #[test]
-fn fresh_adapter_outlives_an_older_one_of_equal_demand() {
+fn fresh_adapter_is_evicted_after_an_older_one_of_equal_demand() {
     let mut state = AgentState::new(options());
     state.handle(AgentEvent::TargetUp(true), Duration::ZERO);
     state.handle(AgentEvent::Inventory((0..3).map(key).collect()), Duration::ZERO);
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -44,7 +44,7 @@
 /// quarantines the poison request, even if reports arrive twice. It quarantines none of the innocent calls that
 /// were at the same targets.
 #[test]
-fn three_reports_of_many_routers_suffice() {
+fn three_reports_quarantine_a_call() {
     let routers = reporting_routers(330);
     for first in [0, 117, 327] {
         let mut newcomer = ledger(9_999);
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn other_region_is_used_only_when_none_here_can() {
+fn other_region_is_used_only_when_no_own_target_is_open() {
     let mut state =
         entry("kandy", vec![target(0, "kandy", "central"), target(1, "galle", "south")]);
     for adapter in 0..20 {
@@ -128,7 +128,7 @@
 /// A request never leaves its region while a target there is open, even if the hash ranks targets of
 /// other regions first.
 #[test]
-fn region_serves_itself_with_many_targets_elsewhere() {
+fn requests_stay_in_their_region_while_a_target_there_is_open() {
     let targets = (0..18).map(|i| target(i, "kandy", ["central", "south", "east"][i % 3]));
     let mut state = entry("kandy", targets.collect());
     for adapter in 0..100 {
--- a/crates/ctl/src/commands/presets.rs
+++ b/crates/ctl/src/commands/presets.rs
@@ -11,7 +11,7 @@
 };
 use serde::Serialize;
 
-/// A preset, with a mark on the one in force.
+/// A preset, and whether it is in force.
 #[derive(Serialize)]
 struct PresetRow {
     #[serde(flatten)]
