--- a/crates/core/src/config/records.rs
+++ b/crates/core/src/config/records.rs
@@ -44,7 +44,7 @@
 }
 
 impl AdapterRecord {
-    /// Checks the record by itself; the error names the field.
+    /// Validates the fields of the record; the error names the invalid field.
     pub fn check(&self) -> Result<(), String> {
         check_name("adapter", &self.name)?;
         check_name("base", &self.base)?;
@@ -76,7 +76,7 @@
 }
 
 impl CallerRecord {
-    /// Checks the record by itself; the error names the field.
+    /// Validates the fields of the record; the error names the invalid field.
     pub fn check(&self) -> Result<(), String> {
         check_name("caller", &self.name)?;
         let hex = self.key_sha256.chars().all(|c| c.is_ascii_hexdigit());
@@ -114,7 +114,7 @@
 }
 
 impl ServiceRecord {
-    /// Checks the record by itself; the error names the field.
+    /// Validates the fields of the record; the error names the invalid field.
     pub fn check(&self) -> Result<(), String> {
         check_name("service", &self.name)?;
         for route in &self.routes {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Checks the record by itself; the error names the field.
+    /// Validates the fields of the record; the error names the invalid field.
     pub fn check(&self) -> Result<(), String> {
         check_name("preset", &self.name)?;
         for (field, weight) in
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -110,7 +110,8 @@
         add_missing(&mut self.survivals, &earlier.survivals);
     }
 
-    /// Whether this report is newer than another one with the same `boot`.
+    /// Whether this report is newer than another one with the same `boot`: it has a higher sequence number, or
+    /// the same one and more records.
     pub fn is_newer_than(&self, known: &Self) -> bool {
         (self.sequence, self.size()) > (known.sequence, known.size())
     }
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -62,7 +62,7 @@
 /// Fixed properties of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions<P> {
-    /// Region of the entry; its targets are preferred to those of others.
+    /// Region of the entry. Targets of other regions are used only if this region has none that is open.
     pub region: RegionName,
     /// Availability zone of the entry.
     pub zone: ZoneName,
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -121,7 +121,7 @@
     Offer(Box<OfferFrame>),
     /// Releases a reserved non-idempotent request to the target.
     Run {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
     },
 }
@@ -158,14 +158,14 @@
 pub enum AgentFrame {
     /// The request is accepted: it is queued, or reserved until `Run` if it is not idempotent.
     Accepted {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
         /// State after accepting it.
         report: TargetReport,
     },
     /// The request was not, and will not be, sent to the target.
     Refused {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
         /// Reason, and when to retry.
         refusal: Refusal,
@@ -174,7 +174,7 @@
     },
     /// Start of the target's answer.
     Head {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
         /// HTTP status.
         status: u16,
@@ -187,21 +187,21 @@
     },
     /// Part of the answer's body.
     Chunk {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
         /// Bytes of the body.
         data: Bytes,
     },
     /// The answer is complete; last frame of an answered request.
     End {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
         /// State after the request.
         report: TargetReport,
     },
     /// The answer cannot be completed.
     Failed {
-        /// Number of the request at its entry.
+        /// Number that the entry assigned to the request.
         request: RequestId,
         /// Whether the request may have run.
         outcome: RunOutcome,
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -48,7 +48,7 @@
     ) -> impl Future<Output = HttpReply> + Send;
 }
 
-/// Limits of a server.
+/// Limits that a server enforces on its connections.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
     /// Maximum number of open connections; further ones wait in the listen queue.
