--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -34,7 +34,7 @@
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(200);
 /// Probability that an evicted adapter must be loaded again soon, per unit of its demand.
 const RELOAD_CHANCE: f64 = 0.1;
-/// Demand used in place of the victim's when all adapters are in use.
+/// Demand assumed for the victim while all adapters are in use and none can be evicted.
 const PINNED_DEMAND: f64 = 50.0;
 
 /// Fixed properties of an agent and its target.
@@ -50,7 +50,8 @@
     pub load_limit: usize,
     /// Which adapter to evict.
     pub eviction: EvictionPolicy,
-    /// Start of the resident set's counter; higher than any value that an earlier process has sent.
+    /// Initial value of the resident set's counter; higher than any value that an earlier process of this
+    /// target has sent.
     pub residency_base: u64,
 }
 
@@ -73,7 +74,7 @@
     stall: Option<Duration>,
 }
 
-/// State of one agent.
+/// State of one agent: its accepted requests, its target, and the adapters resident or wanted there.
 #[derive(Debug)]
 pub struct AgentState {
     options: AgentOptions,
@@ -185,8 +186,8 @@
         self.residents.pins(key)
     }
 
-    /// The state to send back to an entry; includes the residents only if `known_residency`, the entry's
-    /// counter, is out of date.
+    /// Builds the report for an entry. It includes the resident set only if `known_residency`, the counter of the
+    /// last set that the entry has received, is out of date.
     pub fn report(&self, known_residency: u64, now: Timestamp) -> TargetReport {
         let changes = self.residents.counter() + self.loads.counter();
         let residency = self.options.residency_base + changes;
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -20,7 +20,7 @@
 pub type ConfigRevision = u64;
 /// Name of a customer.
 pub type CustomerName = Arc<str>;
-/// Name of a preset.
+/// Name of a preset: a set of weights and limits that operators put in force.
 pub type PresetName = Arc<str>;
 /// Name of a region.
 pub type RegionName = Arc<str>;
@@ -48,7 +48,7 @@
 }
 
 impl AdapterKey {
-    /// Joins a name and a version.
+    /// Creates the key of one version of an adapter.
     pub fn new(name: impl Into<AdapterName>, version: AdapterVersion) -> Self {
         Self { name: name.into(), version }
     }
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn other_region_is_used_only_when_none_here_can() {
+fn other_region_is_used_only_when_no_own_target_is_open() {
     let mut state =
         entry("kandy", vec![target(0, "kandy", "central"), target(1, "galle", "south")]);
     for adapter in 0..20 {
@@ -128,7 +128,7 @@
 /// A request never leaves its region while a target there is open, even if the hash ranks targets of
 /// other regions first.
 #[test]
-fn region_serves_itself_with_many_targets_elsewhere() {
+fn requests_stay_in_their_region_while_a_target_there_is_open() {
     let targets = (0..18).map(|i| target(i, "kandy", ["central", "south", "east"][i % 3]));
     let mut state = entry("kandy", targets.collect());
     for adapter in 0..100 {
@@ -138,8 +138,8 @@
     }
 }
 
-/// A target that refused because it drains gets no more offers, even if the platform's list does not
-/// show it as draining yet; one that failed gets offers again after a pause, one request first.
+/// A target that refused an offer because it drains gets no more offers, even if the platform's list does not
+/// show it as draining yet. A target that failed gets offers again after a pause, at first only one.
 #[test]
 fn draining_target_stays_excluded_and_failed_one_reopens() {
     let records: Vec<_> = (0..2).map(|i| target(i, "kandy", "central")).collect();
@@ -203,7 +203,7 @@
 }
 
 /// Only one of three targets has reported so far, and it loads fast. The others must not look worse
-/// because they have not reported: an adapter goes to its own first choice.
+/// because they have not reported: requests for an adapter go to the adapter's first choice by hash.
 #[test]
 fn targets_that_have_not_reported_are_not_avoided() {
     let mut counts = BTreeMap::new();
