--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -30,7 +30,8 @@
 /// Longest wait, after all work has ended, until the last answers have reached their entries.
 const FLUSH_TIME: Duration = Duration::from_secs(5);
 
-/// Runs an agent until a stop signal arrives and all accepted work has ended.
+/// Runs an agent until a stop signal arrives, then until all accepted work has ended, for at most
+/// [`constants::DRAIN_TIMEOUT`].
 pub fn run(settings: AgentSettings) -> Result<()> {
     let (logger, _flush) = logging::start(&settings.common, "agent");
     let metrics = telemetry::install()?;
--- a/crates/daemon/src/agent/engine.rs
+++ b/crates/daemon/src/agent/engine.rs
@@ -198,8 +198,9 @@
         }
     }
 
-    /// Reports the engine's list of resident adapters to the decisions duty. A list during which an
-    /// order was sent or answered is discarded: it may show an adapter that has just been evicted.
+    /// Reports the engine's list of resident adapters to the decisions duty. Reports nothing if an odd
+    /// number of orders is in flight, or if an order was sent or answered during the query: the list
+    /// may then show an adapter that has just been evicted.
     async fn take_inventory(&self) {
         let before = self.context.orders.load(Ordering::Acquire);
         if !before.is_multiple_of(2) {
--- a/crates/daemon/src/entry/broker.rs
+++ b/crates/daemon/src/entry/broker.rs
@@ -88,9 +88,9 @@
 }
 
 async fn accept_streams(duty: Rc<BrokerDuty>, connection: Connection) {
-    // Only the agent uses heartbeats, to detect that this broker is dead. With zero requests in
-    // flight, the broker never closes a connection that carries no heartbeats: the permits of an
-    // agent that stops answering expire on their own.
+    // The agent sends heartbeats to detect that this broker is dead. The count of requests in flight
+    // is always zero here, so the broker never closes a connection because heartbeats are missing:
+    // the permits of an agent that stops answering expire on their own.
     let connected = connection.clone();
     spawn_local(
         async move { heartbeat::answer_heartbeats(&connected, &AtomicUsize::new(0)).await },
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -35,8 +35,9 @@
 
 /// Most offers of one request, including the first.
 const OFFER_LIMIT: usize = 4;
-/// Offers of one request that may be lost after the request may have run. A request that crashes
-/// its targets would crash one with each offer, before any entry has received a crash report.
+/// Number of offers, each of which may have run the request and ended without a result, after which
+/// an idempotent request fails. A request that crashes its targets would crash one with each offer,
+/// before any entry has received a crash report.
 const LOST_LIMIT: usize = 2;
 /// Time past the deadline in which the entry waits for the agent's refusal: it proves that the
 /// request was not run, which the deadline alone does not.
--- a/crates/daemon/src/link/heartbeat.rs
+++ b/crates/daemon/src/link/heartbeat.rs
@@ -13,7 +13,8 @@
 
 /// Pause between heartbeats.
 const HEARTBEAT_PAUSE: Duration = Duration::from_millis(500);
-/// Time without an answer after which the peer counts as dead.
+/// Time without an answer after which the peer counts as dead. The answering end waits twice as long for the next
+/// heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// QUIC error code of a connection closed because the peer sent no heartbeats.
 const SILENT_CODE: VarInt = VarInt::from_u32(1);
--- a/crates/daemon/src/loader/engine.rs
+++ b/crates/daemon/src/loader/engine.rs
@@ -21,7 +21,7 @@
 /// Timeout for a health check, which queues with the engine's calls.
 const IDENTIFY_LIMIT: Duration = Duration::from_secs(1);
 
-/// A client of one engine.
+/// Sends requests to the engine and reuses its connections.
 pub(crate) struct EngineClient {
     client: HttpClient,
 }
--- a/crates/daemon/src/router.rs
+++ b/crates/daemon/src/router.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// Logs a full list: one line with its size, and after the first list also the targets that it changes.
+/// Logs the size of a full list and, unless it is the first one, the targets that it changes.
 fn log_list(entries: &[Arc<TargetEntry>], context: &RouterContext) {
     info!(context.logger, "list of targets"; "step" => "targets", "targets" => entries.len());
     let pool = context.pool.borrow();
@@ -219,18 +219,19 @@
     pool: &TargetPool,
     context: &RouterContext,
 ) {
-    let turnovers: Vec<&ListChange> = changes.filter(|change| is_turnover(change, pool)).collect();
-    for change in turnovers.iter().take(constants::TARGET_LINES) {
+    let routing_changes: Vec<&ListChange> =
+        changes.filter(|change| affects_routing(change, pool)).collect();
+    for change in routing_changes.iter().take(constants::TARGET_LINES) {
         log_target(change, pool, context);
     }
-    if turnovers.len() > constants::TARGET_LINES {
+    if routing_changes.len() > constants::TARGET_LINES {
         info!(context.logger, "more targets changed"; "step" => "targets",
-            "targets" => turnovers.len() - constants::TARGET_LINES);
+            "targets" => routing_changes.len() - constants::TARGET_LINES);
     }
 }
 
 /// Whether a change affects which targets get calls.
-fn is_turnover(change: &ListChange, pool: &TargetPool) -> bool {
+fn affects_routing(change: &ListChange, pool: &TargetPool) -> bool {
     match change {
         ListChange::Removed(_) => true,
         ListChange::Put(entry) => {
--- a/crates/daemon/src/router/callers.rs
+++ b/crates/daemon/src/router/callers.rs
@@ -58,7 +58,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts callers' connections until [`constants::STOP_LINGER`] after the stop signal, then waits for the calls in
-/// flight.
+/// flight, at most until [`constants::STOP_RESERVE`] before the kill.
 pub(crate) async fn run(listener: TcpListener, context: Rc<RouterContext>) {
     let mut stopping = context.stopping.clone();
     let linger = async {
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -83,7 +83,7 @@
     /// keep-alive timeout that the target advertised.
     pub(crate) fn put_back(&self, connection: TargetConnection, keep: Option<Duration>) {
         let keep = match keep {
-            Some(stated) => stated.mul_f64(constants::KEEP_ALIVE_SHARE),
+            Some(advertised) => advertised.mul_f64(constants::KEEP_ALIVE_SHARE),
             None => constants::DEFAULT_KEEP_ALIVE,
         };
         if keep.is_zero() || connection.sender.is_closed() {
--- a/crates/daemon/src/router/constants.rs
+++ b/crates/daemon/src/router/constants.rs
@@ -51,7 +51,8 @@
 pub(crate) const LOAD_POLL_PAUSE: Duration = Duration::from_millis(60);
 /// Time for which a prefetch request is kept.
 pub(crate) const PREFETCH_TTL: Duration = Duration::from_secs(2);
-/// Calls per second over the fleet from which an adapter is considered for copies: one copy serves twice as many.
+/// Calls per second for an adapter, over the whole fleet, from which the router prefetches it at further engines: one
+/// engine serves twice as many.
 pub(crate) const PREFETCH_RATE: f64 = 5.0;
 /// Interval at which due notices to loaders are sent; it bounds how late the end of a call is reported.
 pub(crate) const NOTICE_POLL_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -50,7 +50,7 @@
     pub(crate) limits: LimitTracker,
     /// Whether the known configuration may be outdated, because it cannot be followed now.
     pub(crate) may_be_outdated: Cell<bool>,
-    /// Unused connections to targets.
+    /// Idle connections to targets.
     pub(crate) connections: ConnectionPool,
     /// Wakes calls that wait for a report from a target's loader.
     waiters: RefCell<HashMap<TargetIncarnation, Rc<Notify>>>,
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -32,7 +32,7 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunEnd {
-    /// Unknown: the caller left, or the deadline passed.
+    /// Unknown: the caller left, the wait for the answer timed out, or the answer does not show whether the call ran.
     Unresolved,
     /// The target closed the connection before the end of its answer.
     Broken,
@@ -90,7 +90,7 @@
         self.context.note_survival(&self.incarnation, self.call);
     }
 
-    /// Records that the target may still run the call, which got no complete answer.
+    /// Records that the call got no answer and that the target may still run it.
     pub(crate) fn set_may_still_run(&mut self) {
         self.may_still_run = true;
     }
--- a/crates/daemon/src/router/control/context.rs
+++ b/crates/daemon/src/router/control/context.rs
@@ -73,8 +73,8 @@
     pub(in crate::router) revision: Cell<Option<u64>>,
     /// Time of the first failure since the last contact; `None` while it is followed.
     pub(in crate::router) failing_since: Cell<Option<Duration>>,
-    /// Whether the next watch must return immediately: a call for some kind failed, so the store may be about to drop
-    /// its history.
+    /// Whether the next watch must return immediately: a call to the store failed, for this kind or another, so the
+    /// store may be about to drop its history.
     pub(in crate::router) must_probe: Cell<bool>,
 }
 
@@ -262,7 +262,8 @@
         clock::now().saturating_sub(self.started)
     }
 
-    /// Adopts the revisions of the first snapshot that holds both the configuration and the list.
+    /// Adopts the revisions of the first snapshot that holds both the configuration and the list. The revision of the
+    /// crash reports is left out.
     pub(in crate::router) fn take_revisions(&self, snapshot: &PeerSnapshot) {
         let is_first = !self.is_listed() && snapshot.config.is_some() && snapshot.targets.is_some();
         let kinds = FollowedKind::ALL.into_iter().zip(&snapshot.revisions);
@@ -429,7 +430,7 @@
         self.lost_kinds.get() == 0 && self.state.borrow().is_complete()
     }
 
-    /// Whether the state is incomplete or some kind cannot be followed now.
+    /// Whether the state is incomplete, or at least one kind cannot be followed now.
     pub(in crate::router) fn is_lost(&self) -> bool {
         self.lost_kinds.get() > 0 || !self.state.borrow().is_complete()
     }
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -67,7 +67,8 @@
         });
     }
 
-    /// Checks whether targets with unresolved runs have ended, and expires old crash records.
+    /// Checks whether targets with unresolved runs have ended, expires old crash records, and publishes this router's
+    /// report if it changed or is due for renewal.
     pub(crate) fn detect_crashes(&self, now: Timestamp) {
         let ended = {
             let pool = self.pool.borrow();
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -244,7 +244,7 @@
                 Ok(choice) => choice,
                 Err(pause) => return self.give_up(last, GiveUpReason::NotRun(pause)),
             };
-            // Targets may have ended while running this request since it arrived, here or at other routers.
+            // Since the call arrived, targets may have crashed while they ran this request, for this router or for others.
             if self.is_quarantined() {
                 self.refund_permit(choice.permit);
                 return self.give_up(last, GiveUpReason::Quarantined(CRASH_TTL));
@@ -423,8 +423,8 @@
         }
     }
 
-    /// Requests an adapter load. It is due before the call's objective by the time that the target's recent answers
-    /// took to begin.
+    /// Requests an adapter load. The load is due earlier than the call's objective, by the time that recent calls waited
+    /// for the target's answers to begin.
     fn request_load(
         &self,
         incarnation: &TargetIncarnation,
--- a/crates/daemon/src/router/exchange/sending.rs
+++ b/crates/daemon/src/router/exchange/sending.rs
@@ -85,7 +85,8 @@
                 self.note(&format!("{incarnation} not reached: {reason}"));
                 (RunProof::NotRun, CallOutcome::Silent)
             }
-            // The target accepts connections but lost an answer, so it counts as failed and not as silent.
+            // The target accepts connections but lost an answer. It counts as failed and not as silent: the backoff
+            // after silence would keep all other calls from it.
             Some(SendEnd::Broken(reason)) => {
                 guard.set_may_still_run();
                 guard.set_end(RunEnd::Broken);
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -284,8 +284,9 @@
         }
     }
 
-    /// Minimum pause between probes of an unreachable store, longer if another router of the zone also probes it; zero
-    /// until the first retry.
+    /// Minimum pause between probes of an unreachable store. It is zero for the first [`FIRST_PAUSE`] of an outage, so
+    /// that the first failure is retried soon. After that it is longer for a router that has an upstream, and longer
+    /// still for a lower rank in the zone.
     fn probe_pause(&self) -> Duration {
         let failing_since = self.progress().failing_since.get();
         let is_repeated =
--- a/crates/daemon/src/router/journal.rs
+++ b/crates/daemon/src/router/journal.rs
@@ -100,7 +100,7 @@
     pub(crate) report_age: Option<Duration>,
     /// Reports requested from loaders for this call.
     pub(crate) report_requests: u32,
-    /// Number of runs: sends that ran or may have.
+    /// Number of sends after which the call ran at the target, or may have run there.
     pub(crate) runs: u32,
     /// Number of sends.
     pub(crate) sends: u32,
--- a/crates/daemon/src/router/limits.rs
+++ b/crates/daemon/src/router/limits.rs
@@ -139,7 +139,7 @@
         let guard = TicketGuard { tracker: self, ticket, is_decided: Cell::new(false) };
         let decision = decided.await;
         guard.is_decided.set(true);
-        // The account decides every waiting call within a bounded time.
+        // The sender is not dropped before it is used: the account decides each waiting call within a bounded time.
         decision.unwrap_or(SpendDecision::Refused { retry_after: None })
     }
 
--- a/crates/daemon/src/router/peers.rs
+++ b/crates/daemon/src/router/peers.rs
@@ -50,8 +50,8 @@
 const READ_WAIT: Duration = Duration::from_millis(150);
 /// Time after the start before peers are queried, in which the store may answer.
 const START_PAUSE: Duration = Duration::from_millis(250);
-/// Time after which a peer's unused connection is closed. Queries for changes come several times a second; queries
-/// for a snapshot open a new connection each time.
+/// Time after which a peer's unused connection is closed. Queries for changes come several times a second. A query
+/// for a snapshot goes to a random peer each time, so its connection is seldom used again.
 const IDLE_LIMIT: Duration = Duration::from_secs(5);
 
 /// Fetches snapshots from peers at the start and whenever the store is unreachable, until the process ends.
@@ -140,7 +140,7 @@
         context.send(ControlEvent::Changed(changes)).await;
     }
     let Some(entries) = snapshot.targets else { return };
-    // A list that the peer does not follow any more is used only if this router has none.
+    // A peer that no longer follows the store has an old list, which is used only if this router has none.
     if snapshot.is_current || !context.state.borrow().is_complete() {
         let entries =
             entries.into_iter().map(|entry| FollowedChange::Target(ListChange::Put(entry)));
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Resumes the stream at another target after the last complete event; `None` if the route does not allow it or
-    /// no target succeeds.
+    /// Resumes the stream at another target after the last complete event; `None` if the route does not allow it, no
+    /// target succeeds, or the caller leaves.
     async fn resume(&mut self) -> Option<PendingAnswer> {
         let exchange = &mut self.exchange;
         let (kind, runs) = (exchange.route.kind, exchange.record.runs);
@@ -176,11 +176,11 @@
         self.splitter.drop_partial();
         exchange.resume_after = self.splitter.last_id.or(exchange.resume_after);
         exchange.exclude_last();
-        let opened = tokio::select! {
-            opened = exchange.dispatch() => opened,
+        let result = tokio::select! {
+            result = exchange.dispatch() => result,
             () = self.sender.closed() => return None,
         };
-        let DispatchResult::Success(answer) = opened else { return None };
+        let DispatchResult::Success(answer) = result else { return None };
         counter!("plantain_streams_resumed_total").increment(1);
         Some(answer)
     }
@@ -208,8 +208,7 @@
 }
 
 /// Splits a resumable stream into complete events: if it broke off inside an event and another run resumed it, the
-/// caller would get a corrupt event.
-/// Other streams pass unchanged, and only their end is checked.
+/// caller would get a corrupt event. Other streams pass unchanged; only their end is checked.
 struct EventSplitter {
     buffers_events: bool,
     partial: BytesMut,
