--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -37,7 +37,8 @@
     task::{LocalSet, spawn_local},
 };
 
-/// Runs an entry until it gets a stop signal and all requests in flight have ended.
+/// Runs an entry until it gets a stop signal, then until all requests in flight have ended, for at most
+/// [`constants::DRAIN_TIMEOUT`].
 pub fn run(settings: EntrySettings) -> Result<()> {
     let (logger, _flush) = logging::start(&settings.common, "entry");
     let metrics = telemetry::install()?;
--- a/crates/daemon/src/entry/callers.rs
+++ b/crates/daemon/src/entry/callers.rs
@@ -59,8 +59,8 @@
 const LINGER_TIME: Duration = Duration::from_secs(1);
 /// Longest wait for a configuration revision that an agent already has.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most attempts to resolve a request. Each further attempt is made because an agent reported a
-/// newer configuration.
+/// Largest number of attempts to resolve a request. Each attempt after the first is made because an
+/// agent reported a newer configuration.
 const RESOLVE_ATTEMPTS: usize = 3;
 
 /// Channels from the callers duty to the other duties.
--- a/crates/daemon/src/entry/decisions.rs
+++ b/crates/daemon/src/entry/decisions.rs
@@ -40,7 +40,7 @@
         work: WorkItem,
         /// Targets that already refused or failed the request.
         excluded: Vec<TargetName>,
-        /// Receives the choice, or the reason why no target is offered the request.
+        /// Receives the choice, or why no target can be offered the request.
         reply: oneshot::Sender<Result<RouteChoice, NotRunProof>>,
     },
     /// An agent's frame carried a report on its target.
--- a/crates/daemon/src/entry/idempotency.rs
+++ b/crates/daemon/src/entry/idempotency.rs
@@ -22,7 +22,7 @@
     time::sleep,
 };
 
-/// Most attempts to write one batch while other entries write the same shard.
+/// Largest number of attempts to write one batch, since other entries may write the same shard.
 const WRITE_ATTEMPTS: u32 = 16;
 /// Shortest pause between two batches of one shard.
 const BATCH_PAUSE: Duration = Duration::from_millis(5);
--- a/crates/daemon/src/entry/offers.rs
+++ b/crates/daemon/src/entry/offers.rs
@@ -28,8 +28,8 @@
 
 /// Longest wait for a connection to an agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Most times that an offer is sent to one address; the second only if a restarted agent reset the
-/// connection.
+/// Largest number of times that an offer is sent to one address. It is sent a second time only if a
+/// restarted agent reset the connection.
 const OFFER_ATTEMPTS: usize = 2;
 /// Capacity of the channel with an offer's events.
 const EVENT_CAPACITY: usize = 32;
@@ -141,7 +141,7 @@
     }
 }
 
-/// A stream to an agent.
+/// A stream to an agent, its connection, and the number of requests in flight on that connection.
 struct OpenStream {
     connection: Connection,
     send: SendStream,
--- a/crates/daemon/src/entry/platform.rs
+++ b/crates/daemon/src/entry/platform.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// Writes this entry's addresses to the platform, where the command-line tool looks up the admin
-/// address.
+/// Writes this entry's addresses to the platform. The command-line tool looks up the admin address
+/// there, and agents the address for permit requests.
 async fn announce(settings: Arc<EntrySettings>, platform: PlatformClient, logger: Logger) {
     let common = &settings.common;
     let record = EntryRecord {
--- a/crates/daemon/src/entry/replays.rs
+++ b/crates/daemon/src/entry/replays.rs
@@ -11,7 +11,7 @@
 };
 use tokio::sync::watch;
 
-/// Most keys in the table; beyond it the oldest are evicted.
+/// Largest number of keys in the table; the oldest are evicted when it is full.
 const REPLAY_LIMIT: usize = 2_048;
 /// Largest body in bytes that is cached. A retry of a request with a larger answer gets an error
 /// that says that it ran.
@@ -64,7 +64,7 @@
     order: VecDeque<(Instant, RecordKey)>,
 }
 
-/// First requests with each key at this entry.
+/// The first request with each key at this entry, for [`RECORD_WINDOW`] after it began.
 #[derive(Clone, Default)]
 pub struct ReplayTable(Arc<Mutex<ReplayState>>);
 
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -20,7 +20,7 @@
 
 /// Server name in the TLS handshake. Peers are identified by their keys alone, not by this name.
 pub const PEER_NAME: &str = "plantain-peer";
-/// Most requests in flight on one connection. The library allocates 90 bytes of state for each
+/// Largest number of requests in flight on one connection. The library allocates 90 bytes of state for each
 /// stream that the peer may open, so a high limit costs memory on every idle connection.
 const STREAM_LIMIT: u32 = 128;
 /// Time after which an unused connection is closed, so that an entry keeps connections only to the
--- a/crates/daemon/src/options/constants.rs
+++ b/crates/daemon/src/options/constants.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-/// Largest body of a caller's request, in bytes.
+/// Default limit of the body of a caller's request, in bytes.
 pub const BODY_LIMIT: usize = 8 << 20;
 /// Smallest body limit that can be set, in bytes.
 pub const BODY_LIMIT_FLOOR: usize = 1 << 10;
 /// Largest body limit that can be set, in bytes; the body must fit into one frame between processes.
 pub const BODY_LIMIT_CEILING: usize = 12 << 20;
-/// Largest number of callers' connections at an entry.
+/// Default limit of callers' connections at an entry.
 pub const CONNECTIONS: usize = 4_096;
-/// Largest number of concurrent requests at an entry.
+/// Default limit of concurrent requests at an entry.
 pub const REQUESTS: usize = 2_048;
 /// Longest wait for the body of a request.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -30,8 +30,8 @@
 pub const BATCH_LIMIT: u32 = 16;
 /// Default number of loads that an engine performs concurrently.
 pub const LOAD_LIMIT: usize = 2;
-/// Loads per second that an agent may order while no entry grants permits: about a twelfth of the weight
-/// store's rate, as for twelve engines.
+/// Default number of loads per second that an agent may order while no entry grants permits: about a twelfth
+/// of the weight store's rate, so that twelve engines together stay below it.
 pub const LOAD_RATE: f64 = 0.3;
 /// Default number of loads per second that the weight store allows.
 pub const STORE_RATE: f64 = 4.0;
