--- a/crates/daemon/src/link/heartbeat.rs
+++ b/crates/daemon/src/link/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Detects within two seconds that the peer of a connection in use is dead or unreachable.
+//! Detects that the peer of a connection in use is dead or unreachable: the sending end within about two
+//! seconds, the answering end within about four.
 //!
 //! Only connections with requests in flight carry heartbeats, so the traffic grows with the
 //! requests and not with entries times agents. A false positive costs a retry, never correctness.
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -84,7 +84,7 @@
         self.end = end;
     }
 
-    /// Records that the run ended, in a success or a failure, and the target is alive.
+    /// Records that the target completed the run, in a success or a failure, and did not crash.
     pub(crate) fn set_survived(&mut self) {
         self.end = RunEnd::Settled;
         self.context.note_survival(&self.incarnation, self.call);
--- a/crates/daemon/src/router/crash_updates.rs
+++ b/crates/daemon/src/router/crash_updates.rs
@@ -36,7 +36,7 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Time over which routers that start together spread their first reports: each write is sent to all watchers.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// Interval at which reports of routers that are gone are removed.
+/// Interval at which the reports of routers that no longer run are removed.
 const CLEAN_PAUSE: Duration = Duration::from_mins(1);
 
 /// Writes the report at the start, so that all other routers know this one, and after each change.
@@ -79,8 +79,8 @@
     }
 }
 
-/// Removes the reports of routers that are gone from the store, until the process ends. Only routers that follow the
-/// store directly do this.
+/// Removes from the store the reports of routers that no longer run, until the process ends. Only routers that follow
+/// the store directly do this.
 pub(super) async fn clean(context: Rc<ControlContext>) {
     let client = HttpClient::new();
     loop {
--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -20,7 +20,7 @@
 };
 
 impl RouterContext {
-    /// Records that a call's run ended at a target, in a success or a failure, and the target is alive.
+    /// Records that a target completed a call's run, in a success or a failure, and did not crash.
     pub(crate) fn note_survival(&self, target: &TargetIncarnation, call: CallFingerprint) {
         let now = clock::now();
         self.crashes.runs.borrow_mut().note_answer(target, now);
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -244,7 +244,8 @@
                 Ok(choice) => choice,
                 Err(pause) => return self.give_up(last, GiveUpReason::NotRun(pause)),
             };
-            // Since the call arrived, targets may have crashed while they ran this request, for this router or for others.
+            // Since the call arrived, targets may have crashed while they ran this request, sent by this router or
+            // another.
             if self.is_quarantined() {
                 self.refund_permit(choice.permit);
                 return self.give_up(last, GiveUpReason::Quarantined(CRASH_TTL));
@@ -423,8 +424,8 @@
         }
     }
 
-    /// Requests an adapter load. The load is due earlier than the call's objective, by the time that recent calls waited
-    /// for the target's answers to begin.
+    /// Requests an adapter load. The load is due earlier than the call's objective, by the time that recent calls
+    /// waited for the target's answers to begin.
     fn request_load(
         &self,
         incarnation: &TargetIncarnation,
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -285,8 +285,8 @@
     }
 
     /// Minimum pause between probes of an unreachable store. It is zero for the first [`FIRST_PAUSE`] of an outage, so
-    /// that the first failure is retried soon. After that it is longer for a router that has an upstream, and longer
-    /// still for a lower rank in the zone.
+    /// that the first failure is retried soon. After that it stays zero for a router without an upstream; a router with
+    /// an upstream waits longer the lower its rank, so that a zone's calls do not grow with its routers.
     fn probe_pause(&self) -> Duration {
         let failing_since = self.progress().failing_since.get();
         let is_repeated =
--- a/crates/daemon/src/router/peers.rs
+++ b/crates/daemon/src/router/peers.rs
@@ -140,7 +140,7 @@
         context.send(ControlEvent::Changed(changes)).await;
     }
     let Some(entries) = snapshot.targets else { return };
-    // A peer that no longer follows the store has an old list, which is used only if this router has none.
+    // A peer that does not follow the store now may have an old list, which is used only if this router has none.
     if snapshot.is_current || !context.state.borrow().is_complete() {
         let entries =
             entries.into_iter().map(|entry| FollowedChange::Target(ListChange::Put(entry)));
--- a/crates/daemon/src/router/permits.rs
+++ b/crates/daemon/src/router/permits.rs
@@ -104,7 +104,7 @@
         TargetPermit::Saturated(reason)
     }
 
-    /// Time until a used-up limit of a service's target may admit requests again; `None` if no target has one.
+    /// Time until the first saturated target of a service may admit requests again; `None` if none is saturated.
     pub(crate) fn limit_retry_after(&self, service: &str) -> Option<Duration> {
         self.pool.borrow().limit_retry_after(service, clock::now())
     }
