--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -1,4 +1,4 @@
-//! Settings after their check.
+//! Settings of all roles, made from the arguments and checked.
 
 use super::{
     arguments::{AgentArguments, CommonArguments, DaemonArguments, EntryArguments},
@@ -56,7 +56,7 @@
     pub common: CommonSettings,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address for agents that request load permits.
+    /// Address for agents that request load permits, and for entries that start during a platform outage.
     pub peer_listen: SocketAddr,
     /// Other entries that provide the state at a start without the platform.
     pub peers: Vec<SocketAddr>,
--- a/crates/daemon/src/telemetry/names.rs
+++ b/crates/daemon/src/telemetry/names.rs
@@ -1,6 +1,6 @@
 //! Names of the metrics; docs/OPERATIONS.md describes each.
 
-/// Ended requests, by kind and outcome.
+/// Ended requests, by outcome.
 pub const REQUESTS: &str = "plantain_requests_total";
 /// Time from a request's head to the end of its answer.
 pub const REQUEST_SECONDS: &str = "plantain_request_seconds";
