--- a/crates/daemon/src/router/crashes.rs
+++ b/crates/daemon/src/router/crashes.rs
@@ -20,7 +20,7 @@
 };
 
 impl RouterContext {
-    /// Records that a call's run ended at a target, in a success or a failure, and the target is alive.
+    /// Records that a target completed a call's run, in a success or a failure, and did not crash.
     pub(crate) fn note_survival(&self, target: &TargetIncarnation, call: CallFingerprint) {
         let now = clock::now();
         self.crashes.runs.borrow_mut().note_answer(target, now);
@@ -67,7 +67,8 @@
         });
     }
 
-    /// Checks whether targets with unresolved runs have ended, and expires old crash records.
+    /// Checks whether targets with unresolved runs have ended, expires old crash records, and publishes this router's
+    /// report if it changed or is due for renewal.
     pub(crate) fn detect_crashes(&self, now: Timestamp) {
         let ended = {
             let pool = self.pool.borrow();
