--- a/crates/standin/src/bench.rs
+++ b/crates/standin/src/bench.rs
@@ -27,7 +27,7 @@
 /// Delay between the start of the last cluster and the first request.
 const START_DELAY: Duration = Duration::from_millis(500);
 
-/// Counters of a cluster at one moment.
+/// Snapshot of a cluster's counters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemCounts {
     /// Batch steps of all engines.
@@ -141,8 +141,8 @@
     Ok(cluster)
 }
 
-/// Replays the trace against one cluster and computes its figures. Counters are read at the start
-/// and the end of the measurement.
+/// Replays the trace against one cluster and computes its results from the samples and from
+/// counters that are read at the start and the end of the measurement.
 async fn run_policy(
     policy: RoutingPolicy,
     cluster: Cluster,
--- a/crates/standin/src/bench/driver.rs
+++ b/crates/standin/src/bench/driver.rs
@@ -31,7 +31,7 @@
     /// Time that the request waited for its adapter to load, as reported by the entry.
     pub load_stall: Duration,
     /// Time to first token; zero without an answer.
-    pub first: Duration,
+    pub ttft: Duration,
     /// Mean time between tokens; absent for answers of one token.
     pub token_gap: Option<Duration>,
     /// Why a complete answer failed the check, if it did.
@@ -69,14 +69,14 @@
         answered: false,
         in_time: false,
         load_stall: Duration::ZERO,
-        first: Duration::ZERO,
+        ttft: Duration::ZERO,
         token_gap: None,
         wrong: None,
     };
     let name = adapter_name(request.adapter);
     let call = ChatCall::new(&name, &request.prompt, request.tokens)
         .with_header("x-plantain-priority", request.priority.name());
-    // Otherwise the request was refused, or its answer was visibly aborted.
+    // A refused request or an aborted answer leaves the sample unanswered.
     if let Ok(Some((body, last))) = read_answer(http, entry, &call, &mut sample).await {
         let model = format!("{name}@1");
         let wanted = expected_answer(&model, &request.prompt, request.tokens);
@@ -118,9 +118,9 @@
         }
     }
     let last = started.elapsed();
-    sample.first = first.unwrap_or(last);
+    sample.ttft = first.unwrap_or(last);
     if call.tokens > 1 {
-        sample.token_gap = Some(last.saturating_sub(sample.first) / (call.tokens - 1));
+        sample.token_gap = Some(last.saturating_sub(sample.ttft) / (call.tokens - 1));
     }
     Ok(Some((body, last)))
 }
--- a/crates/standin/src/bench/optimal.rs
+++ b/crates/standin/src/bench/optimal.rs
@@ -3,8 +3,8 @@
 use super::workload::{Trace, Workload};
 use std::collections::{BTreeSet, HashMap};
 
-/// Loads after the warm-up if all slots form one cache and each eviction takes the adapter whose
-/// next use is furthest away (Belady's algorithm).
+/// Counts the loads after the warm-up in a simulation where all slots form one cache and each
+/// eviction removes the adapter whose next use is furthest away (Belady's algorithm).
 pub fn loads(trace: &Trace, workload: &Workload) -> u64 {
     let requests = &trace.requests;
     let mut next_use = vec![usize::MAX; requests.len()];
--- a/crates/standin/src/bench/report.rs
+++ b/crates/standin/src/bench/report.rs
@@ -9,7 +9,7 @@
 
 /// Statistics of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct TimeFigures {
+pub struct DurationStats {
     /// Arithmetic mean.
     pub mean: f64,
     /// Median.
@@ -22,7 +22,7 @@
     pub total: f64,
 }
 
-impl TimeFigures {
+impl DurationStats {
     fn new(times: impl Iterator<Item = Duration>) -> Self {
         let mut histogram = Histogram::<u64>::new(3).expect("3 digits are allowed");
         let mut total = Duration::ZERO;
@@ -55,9 +55,9 @@
     /// Requests sent after the warm-up.
     pub requests: usize,
     /// Time that answered requests waited for their adapter to load.
-    pub load_stall_ms: TimeFigures,
-    /// The same for upper-priority requests.
-    pub upper_load_stall_ms: TimeFigures,
+    pub load_stall_ms: DurationStats,
+    /// `load_stall_ms` of upper-priority requests only.
+    pub upper_load_stall_ms: DurationStats,
     /// Share of answered requests that waited for a load.
     pub stalled_share: f64,
     /// Mean batch size divided by the batch limit, over the steps of all engines. Idle engines run
@@ -66,9 +66,9 @@
     /// Requests per second with a complete answer within the deadline.
     pub goodput_rps: f64,
     /// Time to first token.
-    pub ttft_ms: TimeFigures,
+    pub ttft_ms: DurationStats,
     /// Time per output token after the first.
-    pub tpot_ms: TimeFigures,
+    pub tpot_ms: DurationStats,
     /// Requests without a complete answer.
     pub refused: usize,
     /// Loads of recently evicted adapters.
@@ -77,7 +77,7 @@
     pub loads: u64,
     /// Loads refused by the weight store.
     pub refused_loads: u64,
-    /// Loads of an offline optimal cache (see `optimal`).
+    /// Loads of an offline optimal cache, a lower bound (see `optimal`).
     pub optimal_loads: u64,
     /// Mean load stall of the requests sent in each second after the warm-up.
     pub stall_by_second_ms: Vec<f64>,
@@ -97,7 +97,7 @@
         let answered: Vec<&RequestSample> = samples.iter().filter(|s| s.answered).collect();
         let stalls = |upper: bool| {
             let chosen = answered.iter().filter(move |s| !upper || s.priority == Priority::Upper);
-            TimeFigures::new(chosen.map(|s| s.load_stall))
+            DurationStats::new(chosen.map(|s| s.load_stall))
         };
         let stalled = answered.iter().filter(|s| !s.load_stall.is_zero()).count();
         let steps = (after.steps - before.steps).max(1) as f64 * workload.batch_limit as f64;
@@ -112,8 +112,8 @@
             stalled_share: stalled as f64 / answered.len().max(1) as f64,
             batch_efficiency: (after.sequence_steps - before.sequence_steps) as f64 / steps,
             goodput_rps: in_time / workload.seconds.as_secs_f64(),
-            ttft_ms: TimeFigures::new(answered.iter().map(|s| s.first)),
-            tpot_ms: TimeFigures::new(answered.iter().filter_map(|s| s.token_gap)),
+            ttft_ms: DurationStats::new(answered.iter().map(|s| s.ttft)),
+            tpot_ms: DurationStats::new(answered.iter().filter_map(|s| s.token_gap)),
             refused: samples.len() - answered.len(),
             thrash: after.thrash - before.thrash,
             loads: after.loads - before.loads,
--- a/crates/standin/src/bench/workload.rs
+++ b/crates/standin/src/bench/workload.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use std::time::Duration;
 
-/// Share of the request rate that is sent in the first half of the warm-up.
+/// Request rate in the first half of the warm-up, as a share of the workload's rate.
 const WARM_UP_RATE_SHARE: f64 = 0.4;
 
 /// Parameters of a workload and of the cluster that it runs on.
@@ -20,7 +20,7 @@
     pub targets: usize,
     /// Adapter slots per engine.
     pub slots: usize,
-    /// Most sequences in an engine's batch.
+    /// Maximum number of sequences in an engine's batch.
     pub batch_limit: usize,
     /// Number of adapters.
     pub adapters: usize,
@@ -36,7 +36,7 @@
     pub upper_share: f64,
     /// Deadline of each request.
     pub deadline: Duration,
-    /// Most requests that wait at one target.
+    /// Maximum number of requests that wait at one target.
     pub queue_limit: u32,
     /// Time before the measurement, whose requests are not counted.
     pub warm_up: Duration,
@@ -193,7 +193,8 @@
 }
 
 impl Trace {
-    /// Draws a trace with Poisson arrivals and Zipf popularity over a shuffled list of adapters.
+    /// Draws a trace: arrivals are a Poisson process, and adapters, ranked in random order, have
+    /// Zipf popularity.
     pub fn new(workload: &Workload) -> Self {
         let mut random = StdRng::seed_from_u64(workload.seed);
         let mut order: Vec<usize> = (0..workload.adapters).collect();
@@ -212,7 +213,7 @@
                 return Self { requests };
             }
             if !shifted && shift.is_some_and(|shift| at >= shift) {
-                // An unpopular adapter (rank 90 %) swaps ranks with the most popular one.
+                // An unpopular adapter, at 90 % of the ranking, swaps ranks with the most popular.
                 order.swap(0, workload.adapters * 9 / 10);
                 shifted = true;
             }
@@ -223,9 +224,9 @@
     }
 }
 
-/// Share of the request rate at a time. After a cold start all slots are empty; at a rate near the
-/// weight store's limit the backlog of loads would take minutes to clear, so the first half of the
-/// warm-up runs at a lower rate.
+/// Request rate at time `at`, as a share of the workload's rate. After a cold start all slots are
+/// empty. At a request rate near the weight store's limit, the backlog of loads would take minutes
+/// to clear, so the first half of the warm-up runs at a lower rate.
 fn rate_share(workload: &Workload, at: Duration) -> f64 {
     if at < workload.warm_up / 2 { WARM_UP_RATE_SHARE } else { 1.0 }
 }
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -128,7 +128,7 @@
         self.address(plan::SPARE_PORT + index)
     }
 
-    /// Runs `plantainctl` against the cluster's platform, whatever its exit status.
+    /// Runs `plantainctl` against the cluster's platform; a nonzero exit status is not an error.
     pub async fn control(&self, arguments: &[&str]) -> Result<Output> {
         let platform = self.platform().to_string();
         Command::new(binary("plantainctl")?)
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Whether a process was started and neither killed nor stopped by this cluster; it may have
-    /// crashed.
+    /// Whether a process was started and not killed or stopped since through this cluster. Also
+    /// true for a process that crashed.
     pub fn has(&self, name: &str) -> bool {
         self.processes.contains_key(name)
     }
--- a/crates/standin/src/cluster/plan.rs
+++ b/crates/standin/src/cluster/plan.rs
@@ -114,7 +114,7 @@
     pub eviction: String,
     /// Adapter slots per engine.
     pub slots: usize,
-    /// Most sequences in an engine's batch.
+    /// Maximum number of sequences in an engine's batch.
     pub batch_limit: usize,
     /// Base time of an engine's batch step, in microseconds.
     pub step_us: u64,
@@ -146,8 +146,8 @@
 }
 
 impl ClusterPlan {
-    /// Creates a plan for one region: entries and engines are assigned to `zones` in turn, with one
-    /// replica of the service `desk` in the first zone.
+    /// Creates a plan for one region: entries and engines are assigned to `zones` round-robin, with
+    /// one replica of the service `desk` in the first zone.
     pub fn new(entries: usize, engines: usize, zones: &[&str]) -> Self {
         let site = |index: usize| SitePlan::new("region-1", zones[index % zones.len()]);
         let engine = |index: usize| EnginePlan {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -44,9 +44,9 @@
 pub struct EngineOptions {
     /// Listen address for API and test controls.
     pub listen: SocketAddr,
-    /// Most adapters resident or loading at once.
+    /// Maximum number of adapters that are resident or loading.
     pub slots: usize,
-    /// Most sequences in the batch; others wait.
+    /// Maximum number of sequences in the batch; others wait.
     pub batch_limit: usize,
     /// Cost model of a batch step.
     pub times: BatchTimes,
@@ -60,17 +60,17 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Number of the next loads that fail.
+    /// How many of the next loads fail.
     pub fail_loads: u32,
     /// Whether loads hang, until this is cleared.
     pub hang_loads: bool,
-    /// Number of the next answers that name a different adapter than the requested one.
+    /// How many of the next answers name a different adapter than the requested one.
     pub wrong_model: u32,
-    /// Number of the next answers that are aborted after their first token.
+    /// How many of the next answers are aborted after their first token.
     pub cut_answers: u32,
-    /// Number of the next answers with wrong content under the right adapter name.
+    /// How many of the next answers have wrong content under the right adapter name.
     pub wrong_content: u32,
-    /// Number of the next requests whose adapter is unloaded as soon as they are queued.
+    /// For how many of the next requests the adapter is unloaded as soon as they are queued.
     pub drop_in_use: u32,
     /// Whether the batch is paused, so that no tokens are generated.
     pub freeze: bool,
@@ -202,7 +202,8 @@
                 .await;
             continue;
         };
-        // The timer rounds up to a millisecond, so a step of zero length only yields.
+        // The timer would round a step of zero length up to a millisecond, so such a step yields
+        // instead.
         if duration.is_zero() {
             yield_now().await;
         } else {
--- a/crates/standin/src/faults/draw.rs
+++ b/crates/standin/src/faults/draw.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Number of agents; those of the engines come first, then those of the services.
+/// Number of agents. The engines' agents have the lower indices; the services' agents follow.
 const AGENTS: usize = ENGINES + super::SERVICES;
 /// Probability of two concurrent faults.
 const DOUBLE_SHARE: f64 = 0.25;
@@ -124,7 +124,8 @@
         Ok(self.windows)
     }
 
-    /// Draws a number that selects the faulty process by its remainder modulo their count.
+    /// Draws a number that selects the process to fault: its remainder modulo the number of
+    /// processes of that kind is the index.
     fn draw_target(&mut self) -> usize {
         self.random.random_range(0..1_000)
     }
--- a/crates/standin/src/faults/ledger.rs
+++ b/crates/standin/src/faults/ledger.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-/// Longest error detail in the report, in characters.
+/// Maximum length of an error detail in the report, in characters.
 const DETAIL_LENGTH: usize = 160;
 
 /// Outcome of one attempt as its caller saw it.
@@ -66,7 +66,8 @@
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Availability {
     /// Completions sent.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub sent: u64,
     /// Completions with a complete and correct answer.
     pub answered: u64,
 }
@@ -79,14 +80,15 @@
     /// Completions sent.
     pub requests: usize,
     /// Completions with a complete and correct answer.
-    pub answers_whole: usize,
+    #[serde(rename = "answers_whole")]
+    pub correct_answers: usize,
     /// Attempts of stamps, retries included.
     pub stamps: usize,
     /// Executions of stamps at the service.
     pub stamps_executed: usize,
     /// Configuration changes that were accepted.
     pub changes: u64,
-    /// Answers of another adapter or version, or with wrong content.
+    /// Answers that came from another adapter or version, or had wrong content.
     pub wrong_adapter: usize,
     /// Adapters evicted while in use.
     pub evicted_in_use: u64,
@@ -96,7 +98,7 @@
     pub executed_twice: usize,
     /// Reversions of ready entries to an older configuration.
     pub reversions: usize,
-    /// Completions without an answer during a planned stop and no other fault.
+    /// Completions whose outcome is unknown although a planned stop was the only active fault.
     pub cut_by_planned_stop: usize,
     /// Availability of completions by active fault.
     pub availability: BTreeMap<String, Availability>,
@@ -125,11 +127,11 @@
             violations.push(format!("evicted in use: {evicted}"));
         }
         violations.extend(ledger.reversions.iter().cloned());
-        let whole = ledger.chats.iter().filter(|chat| chat.outcome == Outcome::Answered).count();
+        let correct = ledger.chats.iter().filter(|chat| chat.outcome == Outcome::Answered).count();
         Self {
             seed,
             requests: ledger.chats.len(),
-            answers_whole: whole,
+            correct_answers: correct,
             stamps: ledger.stamps.len(),
             stamps_executed: stamp_calls(calls).count(),
             changes: ledger.changes,
@@ -151,7 +153,7 @@
             "seed {}: {} completions, {} whole; {} stamps asked, {} executed; {} changes",
             self.seed,
             self.requests,
-            self.answers_whole,
+            self.correct_answers,
             self.stamps,
             self.stamps_executed,
             self.changes
@@ -167,8 +169,8 @@
             self.cut_by_planned_stop
         );
         for (kind, availability) in &self.availability {
-            let share = availability.answered as f64 / availability.asked.max(1) as f64 * 100.0;
-            println!("  {kind:<24} {:>6} asked {share:>8.2}% answered", availability.asked);
+            let share = availability.answered as f64 / availability.sent.max(1) as f64 * 100.0;
+            println!("  {kind:<24} {:>6} asked {share:>8.2}% answered", availability.sent);
         }
         for (failure, count) in &self.failures {
             println!("  {count:>4} x {failure}");
@@ -188,13 +190,13 @@
     lines.len()
 }
 
-/// Executed stamps among all calls of the service.
+/// Selects the executed stamps among all calls that the services recorded.
 fn stamp_calls(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
     calls.iter().filter(|call| call.method == "POST")
 }
 
-/// Counts completions and stamps that ran although their callers were told that they were not run. A stamp
-/// counts only if all its attempts were reported as not run.
+/// Counts completions and stamps that ran although they were reported to their callers as not run.
+/// A stamp counts only if all its attempts were reported as not run.
 fn check_not_run(
     ledger: &Ledger,
     engines: &[EngineRecords],
@@ -270,7 +272,7 @@
     let mut by_fault: BTreeMap<String, Availability> = BTreeMap::new();
     for chat in &ledger.chats {
         let entry = by_fault.entry(active_fault(chat, windows).to_owned()).or_default();
-        entry.asked += 1;
+        entry.sent += 1;
         entry.answered += u64::from(chat.outcome == Outcome::Answered);
     }
     by_fault
--- a/crates/standin/src/faults/traffic.rs
+++ b/crates/standin/src/faults/traffic.rs
@@ -33,7 +33,7 @@
 const CHAT_CALLERS: u64 = 12;
 /// Number of callers that send stamps.
 const STAMP_CALLERS: u64 = 6;
-/// Most attempts of one stamp.
+/// Maximum number of attempts of one stamp.
 const STAMP_ATTEMPTS: usize = 4;
 /// Timeout of a caller's request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
@@ -65,9 +65,11 @@
     /// if none was, among all.
     fn pick_entry(&self, random: &mut StdRng) -> SocketAddr {
         let ready = self.ready.lock().expect("no panic while locked").clone();
-        let open: Vec<usize> = (0..self.entries.len()).filter(|&index| ready[index]).collect();
-        let open = if open.is_empty() { (0..self.entries.len()).collect() } else { open };
-        self.entries[open[random.random_range(0..open.len())]]
+        let candidates: Vec<usize> =
+            (0..self.entries.len()).filter(|&index| ready[index]).collect();
+        let candidates =
+            if candidates.is_empty() { (0..self.entries.len()).collect() } else { candidates };
+        self.entries[candidates[random.random_range(0..candidates.len())]]
     }
 
     fn record(&self, change: impl FnOnce(&mut Ledger)) {
@@ -173,8 +175,8 @@
     record
 }
 
-/// Whether no connection was made, so that the request was not sent; a load balancer would try
-/// another entry.
+/// Whether the request was not sent because no connection could be opened; a load balancer would
+/// try another entry.
 fn is_unsent(error: &eyre::Report) -> bool {
     error.downcast_ref::<SendError>().is_some_and(|error| error.unsent)
 }
@@ -208,7 +210,7 @@
         .header("idempotency-key", key)
         .header("x-plantain-deadline-ms", "5000")
         .body(Full::new(Bytes::from_static(b"gate 7")))
-        .expect("a good request");
+        .expect("a valid request");
     match context.http.fetch(request, CALL_TIMEOUT).await {
         Ok(answer) if answer.status == StatusCode::OK => Outcome::Answered,
         Ok(answer) => {
@@ -238,8 +240,8 @@
     Ok(())
 }
 
-/// Polls the entries' readiness and records a reversion when a ready entry reports an older
-/// revision than it, or its predecessor before a restart, reported earlier.
+/// Polls the entries' readiness and revision. Records a reversion when a ready entry reports an
+/// older revision than it reported before, even if it restarted in between.
 async fn observe_revisions(context: TrafficContext) -> Result<()> {
     let mut highest = vec![0; context.admins.len()];
     while !context.is_stopping() {
@@ -266,7 +268,7 @@
     cluster: &SharedCluster,
     arguments: &FaultRunArguments,
 ) -> Result<()> {
-    let Some(guarantee) = &arguments.break_promise else { return Ok(()) };
+    let Some(guarantee) = &arguments.violated_guarantee else { return Ok(()) };
     let cluster = cluster.read().await;
     let mut engine = EngineFaults::default();
     let mut service = ServiceFaults::default();
--- a/crates/standin/src/options.rs
+++ b/crates/standin/src/options.rs
@@ -260,7 +260,7 @@
     /// Violates a guarantee on purpose, to test that the run detects it: answer, eviction, not-run
     /// or once
     #[bpaf(long("break"), argument("PROMISE"))]
-    pub break_promise: Option<String>,
+    pub violated_guarantee: Option<String>,
     /// Writes the report to a JSON file
     #[bpaf(argument("FILE"))]
     pub json: Option<PathBuf>,
--- a/crates/standin/src/overhead.rs
+++ b/crates/standin/src/overhead.rs
@@ -25,7 +25,7 @@
 const TOKENS: u32 = 4;
 /// Requests of the warm-up, as a share of the counted requests.
 const WARM_UP: f64 = 0.1;
-/// Fewest counted requests at each rate.
+/// Minimum number of counted requests at each rate.
 const MIN_REQUESTS: usize = 20;
 
 /// Median and 99th percentile, in milliseconds.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -46,7 +46,7 @@
     pub down: bool,
     /// Delay before each call is processed, in milliseconds.
     pub delay_ms: u64,
-    /// Number of the next writes that take effect but are answered with status 504.
+    /// How many of the next writes take effect but are answered with status 504.
     pub lose_answers: u32,
 }
 
--- a/crates/standin/src/scale.rs
+++ b/crates/standin/src/scale.rs
@@ -25,7 +25,8 @@
 /// Pause before memory is read after a change, until allocations have settled.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// A result; its fields are the keys of the JSON file.
+/// One measured value with its unit. `at` is the number of adapters, connections or processes, or 0
+/// for an idle cluster. The fields are the keys of the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScalePoint {
     measure: &'static str,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Number of the next calls that are executed twice.
+    /// How many of the next calls are executed twice.
     pub execute_twice: u32,
     /// If set, calls are answered with status 503 and this value as `Retry-After`.
     #[serde(rename = "rest")]
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -22,7 +22,8 @@
     pub listen: SocketAddr,
     /// Loads that may start per second; others get status 429.
     pub rate: f64,
-    /// Concurrent loads that run at full speed; more loads share that bandwidth.
+    /// Number of concurrent loads that run at full speed; with more, all share the same total
+    /// bandwidth.
     pub full_speed: u32,
     /// Duration of a load at full speed.
     pub load_time: Duration,
@@ -91,8 +92,8 @@
         let now = Instant::now();
         let burst = self.options.rate.max(1.0);
         let since = state.refilled.map(|refilled| now - refilled);
-        let earned = since.map_or(burst, |since| since.as_secs_f64() * self.options.rate);
-        state.tokens = (state.tokens + earned).min(burst);
+        let refill = since.map_or(burst, |since| since.as_secs_f64() * self.options.rate);
+        state.tokens = (state.tokens + refill).min(burst);
         state.refilled = Some(now);
         if state.tokens < 1.0 {
             state.counts.refused += 1;
--- a/crates/standin/tests/integration/answers.rs
+++ b/crates/standin/tests/integration/answers.rs
@@ -107,9 +107,9 @@
 struct DisconnectCase {
     name: &'static str,
     is_streamed: bool,
-    /// Bytes that it sends after its request on the same connection.
+    /// Bytes that the caller sends after its request on the same connection.
     pipelined: &'static [u8],
-    /// Whether it resets the connection instead of closing it.
+    /// Whether the caller resets the connection instead of closing it.
     is_reset: bool,
 }
 
@@ -136,7 +136,7 @@
 const NEXT_REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: entry\r\n\r\n";
 
 /// Guards against an entry that does not notice a disconnect because unread pipelined bytes precede
-/// the end of the connection: the engine would keep generating for nobody.
+/// the end of the connection: the engine would keep generating tokens that nobody reads.
 #[tokio::test]
 async fn pipelined_bytes_do_not_hide_a_disconnect() -> Result<()> {
     let case = |name, is_streamed, pipelined, is_reset| DisconnectCase {
--- a/crates/standin/tests/integration/crashes.rs
+++ b/crates/standin/tests/integration/crashes.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Most engines that the request may crash: three, plus one if a retry starts while its entry knows
-/// of only two crashes.
+/// Maximum number of engines that the request may crash: three, plus one if an entry retries it
+/// while that entry knows of only two crashes.
 const MAX_CRASHES: usize = 4;
 /// Time for all entries to learn of a crash that an agent has seen; engines stay down during it.
 const CRASH_REPORT_TIME: Duration = Duration::from_secs(3);
@@ -32,9 +32,9 @@
 }
 
 /// Guards against a poison request that crashes one engine after another and aborts all their
-/// calls. The same prompt is sent repeatedly through both entries; each agent sees one crash, and
-/// each entry a few aborted offers. After the third crash the request must reach no engine and be
-/// refused at once.
+/// calls. The same prompt is sent repeatedly through both entries. Each agent sees only the crash
+/// of its own engine, and each entry only a few offers that were aborted. After the third crash the
+/// request must reach no engine and be refused at once.
 #[tokio::test]
 async fn a_request_that_crashes_engines_is_quarantined() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 6, &["kandy"])).await?;
--- a/crates/standin/tests/integration/idempotency.rs
+++ b/crates/standin/tests/integration/idempotency.rs
@@ -108,8 +108,8 @@
 
 /// Guards against outages of the platform that affect more than calls with a key. Stamps with a key
 /// must be refused at once as not run, with `retry-after`; completions, loads and stamps without a
-/// key (which cannot be retried as the same call) must run. Stamps with a key must work again
-/// afterwards.
+/// key (which no later call can identify as the same stamp) must run. Stamps with a key must work
+/// again afterwards.
 #[tokio::test]
 async fn outage_refuses_only_stamps_with_a_key() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
@@ -138,8 +138,9 @@
     finish(cluster).await
 }
 
-/// Guards against a key that stays taken by a stamp that did not run. No target accepts the stamp,
-/// so the entry must remove the key's record; a retry with the key through another entry must run.
+/// Guards against a key that stays reserved for a stamp that did not run. No target accepts the
+/// stamp, so the entry must remove the key's record; a retry with the key through another entry
+/// must run.
 #[tokio::test]
 async fn record_of_a_stamp_that_was_not_run_is_removed() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(2, 1, &["kandy"])).await?;
--- a/crates/standin/tests/integration/import.rs
+++ b/crates/standin/tests/integration/import.rs
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn bad_file_names_the_line_and_the_field() -> Result<()> {
     let cluster = Cluster::start(ClusterPlan::new(1, 1, &["kandy"])).await?;
-    let good = r#"{"name":"a","base":"scribe","versions":[1],"current":1}"#;
+    let valid_line = r#"{"name":"a","base":"scribe","versions":[1],"current":1}"#;
     let cases = [
         BadFile { text: "{", expected_error: "line 2" },
         BadFile { text: r#"{"name":"b","base":"scribe","current":1}"#, expected_error: "versions" },
@@ -58,11 +58,11 @@
             text: r#"{"name":"b","base":"scribe","versions":[1],"current":2}"#,
             expected_error: "current",
         },
-        BadFile { text: good, expected_error: "listed twice" },
+        BadFile { text: valid_line, expected_error: "listed twice" },
     ];
     for case in cases {
         let file = cluster.directory().join("bad.jsonl");
-        std::fs::write(&file, format!("{good}\n{}\n", case.text))?;
+        std::fs::write(&file, format!("{valid_line}\n{}\n", case.text))?;
         let output = cluster.control(&["adapter", "import", &file.to_string_lossy()]).await?;
         let error = String::from_utf8_lossy(&output.stderr);
         ensure!(output.status.code() == Some(2), "{}: {:?}", case.text, output.status);
--- a/crates/standin/tests/integration/loads.rs
+++ b/crates/standin/tests/integration/loads.rs
@@ -5,8 +5,8 @@
 use plantain_standin::{call::ChatCall, cluster::plan::ClusterPlan, weights::WeightCounts};
 
 /// Guards against loads that stop when the entry that grants load permits dies. Two of three
-/// entries are killed in turn between requests for cold adapters; the agents must get permits from
-/// the next entry.
+/// entries are killed one after the other between requests for cold adapters; the agents must get
+/// permits from the next entry.
 #[tokio::test]
 async fn loads_continue_when_the_broker_dies() -> Result<()> {
     let mut plan = ClusterPlan::new(3, 2, &["kandy"]);
--- a/crates/standin/tests/integration/requests.rs
+++ b/crates/standin/tests/integration/requests.rs
@@ -53,13 +53,13 @@
     }
 }
 
-const GOOD: &str = r#"{"model":"house-0001","max_tokens":2,"messages":[]}"#;
+const VALID_BODY: &str = r#"{"model":"house-0001","max_tokens":2,"messages":[]}"#;
 
 fn bad_requests() -> Vec<BadRequest> {
     let header = |name, header, kind, message_part| BadRequest {
         header: Some(header),
         message_part,
-        ..BadRequest::post(name, GOOD, 400, kind)
+        ..BadRequest::post(name, VALID_BODY, 400, kind)
     };
     vec![
         BadRequest::post("not JSON", "{", 400, "malformed_body"),
@@ -80,7 +80,7 @@
         header("empty key", ("idempotency-key", ""), "bad_header", "characters"),
         BadRequest {
             path: "/v1/embeddings",
-            ..BadRequest::post("unknown path", GOOD, 404, "unknown_path")
+            ..BadRequest::post("unknown path", VALID_BODY, 404, "unknown_path")
         },
         BadRequest {
             method: Method::GET,
--- a/crates/standin/tests/integration/services.rs
+++ b/crates/standin/tests/integration/services.rs
@@ -51,8 +51,8 @@
 }
 
 /// Guards against a stamp that runs twice. The link to the agent is cut after the stamp reached the
-/// service, so the answer is lost; a retry could void the passport. The caller must get
-/// `outcome: unknown`, and the service must have executed the stamp once.
+/// service, so the answer is lost; a retry could stamp a passport twice and void it. The caller
+/// must get `outcome: unknown`, and the service must have executed the stamp once.
 #[tokio::test]
 async fn stamp_is_not_repeated_when_its_answer_is_lost() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
@@ -106,7 +106,7 @@
 }
 
 /// Guards against calls that reach a service during the backoff it requested with `Retry-After`,
-/// and against refusals that do not tell callers when to retry.
+/// and against refusals without the time after which the caller may retry (`retry-after-ms`).
 #[tokio::test]
 async fn a_service_that_requests_a_backoff_gets_no_calls() -> Result<()> {
     let cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
--- a/crates/standin/tests/integration/stopping.rs
+++ b/crates/standin/tests/integration/stopping.rs
@@ -123,11 +123,11 @@
         cluster.wait_ready().await?;
     }
     stop.send_replace(true);
-    let mut answered = 0;
+    let mut rounds = 0;
     while let Some(count) = callers.join_next().await {
-        answered += count??;
+        rounds += count??;
     }
-    ensure!(answered > 50, "only {answered} requests were sent");
+    ensure!(rounds > 50, "only {rounds} rounds were run");
     finish(cluster).await
 }
 
@@ -138,21 +138,21 @@
     caller: usize,
     stopping: watch::Receiver<bool>,
 ) -> Result<usize> {
-    let mut answered = 0;
+    let mut rounds = 0;
     while !*stopping.borrow() {
-        let entry = entries[(answered + caller) % entries.len()];
-        // A new client per request, so that no kept-alive connection is used which the entry
-        // closes.
+        let entry = entries[(rounds + caller) % entries.len()];
+        // A new client per request: the entry may close an idle connection while a request is
+        // sent on it.
         let http = HttpClient::new();
         let ready = http.call(Method::GET, &url(entry, "/readyz"), "", READY_TIMEOUT).await;
         if ready.is_ok_and(|ready| ready.status == 200) {
-            let model = format!("house-{:04}@2", answered % 5);
+            let model = format!("house-{:04}@2", rounds % 5);
             let mut call = ChatCall::new(&model, "Open?", 20);
             call.streamed = caller.is_multiple_of(2);
             let answer = call.send(&http, entry).await?;
             call.check(&answer, &model)?;
         }
-        answered += 1;
+        rounds += 1;
     }
-    Ok(answered)
+    Ok(rounds)
 }
--- a/crates/standin/tests/integration/targets.rs
+++ b/crates/standin/tests/integration/targets.rs
@@ -49,9 +49,9 @@
     finish(cluster).await
 }
 
-/// Guards against calls that fail with their agent. The preferred agent is killed, or frozen so
-/// that its link still looks alive. The offer gets no reply, so nothing has reached the caller, and the entry
-/// must offer it to the other agent.
+/// Guards against calls that fail because their preferred agent does. The agent is killed, or
+/// frozen with its link still open. It does not reply to the entry's offer, so the caller has
+/// received nothing yet, and the entry must offer the call to the other agent.
 #[tokio::test]
 async fn calls_avoid_a_dead_or_frozen_agent() -> Result<()> {
     for signal in [Signal::SIGKILL, Signal::SIGSTOP] {
@@ -69,10 +69,11 @@
     Ok(())
 }
 
-/// Guards against two agents that order one engine. An agent is frozen while it holds its slot; a
-/// successor takes the slot with a higher epoch, and entries route to the successor. When the old
-/// agent resumes, it must find that it lost the slot and accept no calls; the engine would refuse
-/// any earlier order of it for its outdated fencing number.
+/// Guards against two agents that send orders to one engine. An agent is frozen while it holds its
+/// slot; a successor takes the slot with a higher epoch, and entries route to the successor. When
+/// the old agent resumes, it must find that it lost the slot and accept no calls. The engine would
+/// refuse an order that the old agent sends before it finds out, because the fencing number is
+/// outdated.
 #[tokio::test]
 async fn successor_takes_over_from_a_frozen_agent() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
@@ -109,8 +110,9 @@
 }
 
 /// Guards against eviction of an adapter that a predecessor's call still uses. When an agent
-/// starts, its engine runs a request that it did not send and holds no pin for. It must accept no
-/// calls and evict nothing until the engine is idle, and that request's answer must be complete.
+/// starts, its engine runs a request that the agent did not send and holds no pin for. The agent
+/// must accept no calls and evict nothing until the engine is idle, and the request's answer must
+/// be complete.
 #[tokio::test]
 async fn agent_restarted_under_a_busy_engine_waits_until_it_is_idle() -> Result<()> {
     let mut cluster = start(ClusterPlan::new(1, 1, &["kandy"])).await?;
