--- a/crates/standin/src/bench/driver.rs
+++ b/crates/standin/src/bench/driver.rs
@@ -79,9 +79,9 @@
     // A refused request or an aborted answer leaves the sample unanswered.
     if let Ok(Some((body, last))) = read_answer(http, entry, &call, &mut sample).await {
         let model = format!("{name}@1");
-        let wanted = expected_answer(&model, &request.prompt, request.tokens);
+        let expected = expected_answer(&model, &request.prompt, request.tokens);
         match read_events(&body, &model) {
-            Ok(content) if content == wanted => {
+            Ok(content) if content == expected => {
                 sample.answered = true;
                 sample.in_time = last <= deadline;
             }
--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -110,7 +110,7 @@
         ensure!(answer.broken.is_none(), "broken off: {:?}", answer.broken);
         let named = answer.header("x-plantain-adapter");
         ensure!(named == Some(model), "ran on {named:?}, not on {model}");
-        let wanted = expected_answer(model, &self.prompt, self.tokens);
+        let expected = expected_answer(model, &self.prompt, self.tokens);
         let content = if self.streamed {
             read_events(&answer.body, model)?
         } else {
@@ -118,7 +118,7 @@
             ensure!(value["model"] == model, "the body names {}", value["model"]);
             value["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned()
         };
-        ensure!(content == wanted, "the answer is `{content}`, not `{wanted}`");
+        ensure!(content == expected, "the answer is `{content}`, not `{expected}`");
         Ok(())
     }
 }
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -35,7 +35,8 @@
     cluster.shut_down().await.map(drop)
 }
 
-/// Builds all programs of the workspace under `cargo run`, which builds only this one.
+/// Builds all programs of the workspace if this one was started by `cargo run`, which builds only
+/// this one.
 fn build_programs() -> Result<()> {
     let Some(cargo) = env::var_os("CARGO") else { return Ok(()) };
     let mut command = Command::new(cargo);
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -210,11 +210,11 @@
             sleep(duration).await;
         }
         let mut state = handler.state();
-        let ended = state.batch.end_step();
+        let counts = state.batch.end_step();
         state.records.steps += 1;
-        state.records.sequence_steps += ended.sequences as u64;
-        state.records.completed += ended.completed;
-        state.records.cancelled += ended.cancelled;
+        state.records.sequence_steps += counts.sequences as u64;
+        state.records.completed += counts.completed;
+        state.records.cancelled += counts.cancelled;
     }
 }
 
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -8,7 +8,7 @@
 };
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Characters at the start of a prompt that are its key in the prefix cache.
+/// Length of the prompt prefix that is the key in the prefix cache, in characters.
 const PREFIX_CHARS: usize = 256;
 
 /// Cost model of a batch step.
@@ -73,7 +73,7 @@
 
 /// Counts of one finished step.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StepEnd {
+pub struct StepCounts {
     /// Sequences in the batch during the step, cancelled ones included.
     pub sequences: usize,
     /// Sequences that generated their last token.
@@ -141,18 +141,18 @@
 
     /// Ends a step: removes cancelled sequences, emits a token for each of the others, and removes
     /// the completed ones.
-    pub fn end_step(&mut self) -> StepEnd {
-        let mut end = StepEnd { sequences: self.running.len(), ..StepEnd::default() };
+    pub fn end_step(&mut self) -> StepCounts {
+        let mut counts = StepCounts { sequences: self.running.len(), ..StepCounts::default() };
         let before = self.running.len();
         self.running.retain(|sequence| !sequence.events.is_closed());
-        end.cancelled = (before - self.running.len()) as u64;
+        counts.cancelled = (before - self.running.len()) as u64;
         for sequence in &mut self.running {
             sequence.emit();
         }
         let before = self.running.len();
         self.running.retain(|sequence| sequence.emitted < sequence.tokens);
-        end.completed = (before - self.running.len()) as u64;
-        end
+        counts.completed = (before - self.running.len()) as u64;
+        counts
     }
 
     /// Aborts all sequences of an adapter and returns their number.
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Waits until a stall ends, then for the delay; false if the connection is to be closed.
+    /// Waits until a stall ends, then for the delay. Returns false if the connection must be closed.
     async fn apply_faults(&self, direction: ProxyDirection, bytes: usize) -> bool {
         let mut faults = self.faults.clone();
         let stalled = |faults: &ProxyFaults| match direction {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -27,7 +27,7 @@
     time::sleep,
 };
 
-/// Time with load but without faults, before and after the faults.
+/// Duration of the phases with load but without faults, before and after the faults.
 const QUIET_TIME: Duration = Duration::from_secs(3);
 /// Number of engines.
 const ENGINES: usize = 6;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -109,8 +109,8 @@
         };
         let path = parts.uri.path().to_owned();
         let query = parts.uri.query().unwrap_or("").to_owned();
-        if let Some(step) = path.strip_prefix("/standin/") {
-            return self.control(step, &body.to_bytes());
+        if let Some(action) = path.strip_prefix("/standin/") {
+            return self.control(action, &body.to_bytes());
         }
         let faults = self.state().faults.clone();
         if faults.delay_ms > 0 {
@@ -226,13 +226,13 @@
         let Ok(value) = serde_json::from_slice::<Value>(body) else {
             return text_reply(StatusCode::BAD_REQUEST, "value is not JSON");
         };
-        let Some(wanted) = query_number(query, "version") else {
+        let Some(expected) = query_number(query, "version") else {
             return text_reply(StatusCode::BAD_REQUEST, "version is missing");
         };
         let mut state = self.state();
         let objects = state.objects.entry(kind.to_owned()).or_default();
         let current = objects.get(name).filter(|o| o.value.is_some()).map_or(0, |o| o.version);
-        if current != wanted {
+        if current != expected {
             state.calls.conflicts += 1;
             return json_reply(StatusCode::CONFLICT, &PutAnswer { version: current });
         }
@@ -269,9 +269,9 @@
         json_reply(StatusCode::OK, &PutAnswer { version })
     }
 
-    fn control(&self, step: &str, body: &Bytes) -> HttpReply {
+    fn control(&self, action: &str, body: &Bytes) -> HttpReply {
         let mut state = self.state();
-        match step {
+        match action {
             "faults" => match serde_json::from_slice(body) {
                 Ok(faults) => {
                     state.faults = faults;
--- a/crates/standin/src/scale.rs
+++ b/crates/standin/src/scale.rs
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-/// Measures memory, handshake latency and CPU time of an agent with idle links of entries.
+/// Measures memory, handshake latency and CPU time of an agent with idle links from entries.
 async fn measure_links(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     let keys = PeerKeys::new(TEST_KEY, None).map_err(|error| eyre!(error))?;
     let endpoint = link::client_endpoint(cluster.platform().ip(), &keys)?;
@@ -119,7 +119,8 @@
     Ok(())
 }
 
-/// Measures import, roll-out, CPU time and memory of an entry with a growing number of adapters.
+/// Measures the time of an import and of a roll-out, and an entry's CPU time and memory, at growing
+/// numbers of adapters.
 async fn measure_adapters(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     for count in ADAPTERS {
         let mut lines = String::new();
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -12,7 +12,8 @@
 };
 use tokio::{sync::watch, time::sleep};
 
-/// Number of steps of a load; its speed is adapted to the number of concurrent loads at each step.
+/// Number of slices of a load. The speed of each slice depends on the number of concurrent loads at
+/// its start.
 const LOAD_SLICES: u32 = 20;
 
 /// Settings of the weight store stand-in.
