--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -222,8 +222,8 @@
         bail!("{what}: condition not met after {CONDITION_TIMEOUT:?}; last error: {last:?}")
     }
 
-    /// Waits until each agent reports its target as up, and each entry is ready and lists all targets
-    /// as open.
+    /// Waits until each agent reports its target as up, and each entry is ready and lists all
+    /// targets as open.
     pub async fn wait_ready(&self) -> Result<()> {
         let targets = self.plan.engines.len() + self.plan.services.len();
         let agents = (0..self.plan.engines.len()).map(|index| self.engine_agent_admin(index));
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Waits until a stall ends, then for the delay. Returns false if the connection must be closed.
+    /// Waits until a stall ends, then for the delay. Returns false if the connection must be
+    /// closed.
     async fn apply_faults(&self, direction: ProxyDirection, bytes: usize) -> bool {
         let mut faults = self.faults.clone();
         let stalled = |faults: &ProxyFaults| match direction {
