--- a/crates/standin/src/scale.rs
+++ b/crates/standin/src/scale.rs
@@ -25,7 +25,8 @@
 /// Pause before memory is read after a change, until allocations have settled.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// A result; its fields are the keys of the JSON file.
+/// One measured value with its unit. `at` is the number of adapters, connections or processes, or 0
+/// for an idle cluster. The fields are the keys of the JSON file.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScalePoint {
     measure: &'static str,
@@ -94,7 +95,7 @@
     Ok(())
 }
 
-/// Measures memory, handshake latency and CPU time of an agent with idle links of entries.
+/// Measures memory, handshake latency and CPU time of an agent with idle links from entries.
 async fn measure_links(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     let keys = PeerKeys::new(TEST_KEY, None).map_err(|error| eyre!(error))?;
     let endpoint = link::client_endpoint(cluster.platform().ip(), &keys)?;
@@ -118,7 +119,8 @@
     Ok(())
 }
 
-/// Measures import, roll-out, CPU time and memory of an entry with a growing number of adapters.
+/// Measures the time of an import and of a roll-out, and an entry's CPU time and memory, at growing
+/// numbers of adapters.
 async fn measure_adapters(cluster: &Cluster, points: &mut Vec<ScalePoint>) -> Result<()> {
     for count in ADAPTERS {
         let mut lines = String::new();
