--- a/crates/core/src/crashes.rs
+++ b/crates/core/src/crashes.rs
@@ -29,8 +29,8 @@
 };
 
 /// Number of targets that must have ended while they ran a call before the call is quarantined. An innocent
-/// call may share one crash by chance, and a second one if its retry runs beside the same poison request; a
-/// third is not chance.
+/// call may share one crash by chance, and a second one if its caller's only retry runs beside the same poison
+/// request; a third is not chance.
 pub const QUARANTINE_CRASHES: usize = 3;
 /// Time for which a crash counts against a call. Callers give up on a request within a minute or so. A
 /// poison request that is sent once an hour costs three targets each time; a call that was quarantined by
@@ -158,7 +158,8 @@
         is_new
     }
 
-    /// Raises the own report's sequence number, so that it is sent again before it expires at the others.
+    /// Raises the own report's sequence number, so that it is published again before it expires at the other
+    /// routers, which also count the fleet by these reports.
     pub fn renew(&mut self) {
         self.own.sequence += 1;
     }
--- a/crates/core/src/crashes/report.rs
+++ b/crates/core/src/crashes/report.rs
@@ -116,7 +116,7 @@
         (self.sequence, self.size()) > (known.sequence, known.size())
     }
 
-    /// Whether it holds no records.
+    /// Whether it holds no records and only shows that its sender is running.
     pub fn is_empty(&self) -> bool {
         self.size() == 0
     }
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -143,7 +143,7 @@
     pub batch_limit: u32,
     /// Expected wait until an adapter that is requested now is loaded.
     pub load_wait: Duration,
-    /// Expected cost, as a wait, of the eviction that a load needs.
+    /// Expected cost to other requests, as a wait, of the eviction that a load needs.
     pub slot_cost: Duration,
     /// Mean time that a request runs.
     pub service_time: Duration,
--- a/crates/core/tests/core/permits.rs
+++ b/crates/core/tests/core/permits.rs
@@ -20,7 +20,8 @@
 }
 
 /// For any sequence of permit requests and ended loads: at most three loads are under way, and on average at
-/// most four loads begin per second, in addition to the one token of a new pool.
+/// most four loads begin per second, in addition to the one token of a new pool. Within any one second, at most
+/// eight loads begin.
 #[test]
 fn limits_are_never_exceeded() {
     fn property(steps: Vec<(u8, u16)>) -> bool {
