--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -28,7 +28,8 @@
     time::sleep,
 };
 
-/// Time limit for receiving the headers of a request; the connection is closed after it.
+/// Time limit for receiving the headers of a request. The connection is closed after it, so that slow
+/// or half-open callers do not use up the connection limit.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Read buffer of a connection, in bytes, which limits the size of a request's headers.
 const HEAD_LIMIT: usize = 64 << 10;
