--- a/crates/core/src/direct/advertised_state.rs
+++ b/crates/core/src/direct/advertised_state.rs
@@ -17,18 +17,18 @@
 ///
 /// An answer that rejects the request as misdirected may come from any target that has the address now, and counts
 /// only if it names the target.
-pub fn advertises_draining(head: &AnswerHead, asked: &TargetIncarnation) -> bool {
-    let is_from_asked = match &head.instance {
-        Some(instance) => *instance == asked.id,
+pub fn advertises_draining(head: &AnswerHead, expected: &TargetIncarnation) -> bool {
+    let is_from_expected = match &head.instance {
+        Some(instance) => *instance == expected.id,
         None => head.status != MISDIRECTED,
     };
-    head.is_draining && is_from_asked
+    head.is_draining && is_from_expected
 }
 
 /// Backoff that a target requests in an answer that rejects a request without running it.
 pub fn requested_backoff(proof: RunProof, head: &AnswerHead) -> Option<Duration> {
-    let is_turned_away = proof == RunProof::NotRun && head.status == UNAVAILABLE;
-    head.backoff.filter(|backoff| is_turned_away && !backoff.is_zero())
+    let is_rejected = proof == RunProof::NotRun && head.status == UNAVAILABLE;
+    head.backoff.filter(|backoff| is_rejected && !backoff.is_zero())
 }
 
 /// Draining and backoff that one incarnation of a target has advertised.
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -289,7 +289,7 @@
 
     /// Zones of `all` whose number of routers to query in round `round`: all in the first rounds, later those
     /// without a known number and one of the others.
-    pub fn zones_to_ask<'a>(
+    pub fn zones_to_query<'a>(
         &self,
         all: &'a [ZoneName],
         round: usize,
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -150,7 +150,7 @@
         now: Timestamp,
     ) -> SpendResult {
         let shares = LimitShares::new(rule, self.fleet);
-        if f64::from(cost) > shares.largest {
+        if f64::from(cost) > shares.max_cost {
             return SpendResult::Decided(SpendDecision::Refused { retry_after: None });
         }
         let ttl = report_ttl(self.fleet.known);
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn fits(&self, cost: UsageCost, shares: &LimitShares) -> bool {
-        self.balance - f64::from(cost) >= -shares.ahead
+        self.balance - f64::from(cost) >= -shares.credit
     }
 
     pub(super) fn spend(&mut self, cost: UsageCost, now: Timestamp) {
--- a/crates/core/src/direct/limits/terms.rs
+++ b/crates/core/src/direct/limits/terms.rs
@@ -75,7 +75,7 @@
 /// Part of the tolerance that all routers together may hold unused.
 const SLICE_SHARE: f64 = 0.25;
 /// Part of the tolerance that all routers together may use before their meters grant it.
-const AHEAD_SHARE: f64 = 0.1;
+const CREDIT_SHARE: f64 = 0.1;
 /// Part of the tolerance by which one large call may exceed the units left. Up to this size, large and small calls have
 /// the same chance at an exhausted limit; without it a large call would wait for the bucket to fill while small
 /// ones keep it empty.
@@ -111,11 +111,11 @@
     /// Units that one router may hold unused.
     pub slice: f64,
     /// Units that one router may use before its meter grants them.
-    pub ahead: f64,
+    pub credit: f64,
     /// Units by which a grant may exceed the units left.
     pub overdraft: f64,
     /// Highest cost of a single call, at least one unit; a higher cost would exceed the limit by itself.
-    pub largest: f64,
+    pub max_cost: f64,
     /// Units a second that one router refills by itself while it has no meter.
     pub even_rate: f64,
     /// Most units that one router may use at once while it has no meter. A call that costs more is refused meanwhile.
@@ -134,9 +134,9 @@
             rate: limit.rate,
             capacity,
             slice: SLICE_SHARE * tolerance / routers,
-            ahead: AHEAD_SHARE * tolerance / upper_bound,
+            credit: CREDIT_SHARE * tolerance / upper_bound,
             overdraft: OVERDRAFT_SHARE * tolerance,
-            largest: total.max(1.0),
+            max_cost: total.max(1.0),
             even_rate: limit.rate / upper_bound,
             even_capacity: capacity / upper_bound,
         }
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -91,7 +91,7 @@
     requested: HashMap<AdapterId, Timestamp>,
     /// Load requests met since the notice arrived. The router drops a request only with its next notice;
     /// if the adapter is evicted before that, the old request must not cause a second load.
-    met: HashSet<AdapterId>,
+    fulfilled: HashSet<AdapterId>,
     /// Whether it has requested a report and has not been sent one since.
     wants_report: bool,
     /// What it was last sent about the adapters that its calls wait for.
@@ -236,7 +236,7 @@
         });
         let state = NoticeState {
             requested: requested.collect(),
-            met: HashSet::new(),
+            fulfilled: HashSet::new(),
             wants_report: notice.wants_report || known.is_some_and(|state| state.wants_report),
             last_awaited: known
                 .filter(|state| has_same_requests(state, &notice))
@@ -278,7 +278,7 @@
             (true, false) => SLOW_POLL,
         };
         self.next_poll = now + pause;
-        self.note_met(&report);
+        self.note_fulfilled(&report);
         self.note_loaded(&report, now);
         self.report = Some(report);
     }
@@ -291,7 +291,7 @@
         self.backlog = PrefillBacklog::default();
         self.memory = HostMemory::default();
         for state in self.notices.values_mut() {
-            state.met.clear();
+            state.fulfilled.clear();
         }
     }
 
@@ -320,12 +320,12 @@
         if self.memory.holds(id) { time.mul_f64(HOST_MEMORY_LOAD_SHARE) } else { time }
     }
 
-    fn note_met(&mut self, report: &EngineReport) {
+    fn note_fulfilled(&mut self, report: &EngineReport) {
         for state in self.notices.values_mut() {
             for request in &state.notice.load_requests {
                 let adapter = requested_adapter(request);
                 if report.held(&adapter).is_some_and(|version| version >= request.version) {
-                    state.met.insert(adapter);
+                    state.fulfilled.insert(adapter);
                 }
             }
         }
@@ -400,7 +400,7 @@
         running.get(id).copied().unwrap_or(0) + u32::from(is_fresh)
     }
 
-    fn is_met(&self, request: &LoadRequest) -> bool {
+    fn is_fulfilled(&self, request: &LoadRequest) -> bool {
         let version =
             self.report.as_ref().and_then(|report| report.held(&requested_adapter(request)));
         version.is_some_and(|version| version >= request.version)
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -90,7 +90,7 @@
         report: &EngineReport,
         now: Timestamp,
     ) -> Vec<(&LoadRequest, Timestamp)> {
-        let mut load_requests = self.unmet_requests(report);
+        let mut load_requests = self.unfulfilled_requests(report);
         let is_late_first = self.timely_loads >= TIMELY_LOADS;
         load_requests.sort_by_cached_key(|(request, since)| {
             let callers = Reverse(self.waiting_calls(&requested_adapter(request)));
@@ -101,16 +101,19 @@
     }
 
     /// Load requests that no adapter held or loading meets, with the time when each was first seen.
-    pub(super) fn unmet_requests(&self, report: &EngineReport) -> Vec<(&LoadRequest, Timestamp)> {
+    pub(super) fn unfulfilled_requests(
+        &self,
+        report: &EngineReport,
+    ) -> Vec<(&LoadRequest, Timestamp)> {
         let mut load_requests: Vec<(&LoadRequest, Timestamp)> = Vec::new();
         for state in self.notices.values() {
             for request in &state.notice.load_requests {
                 let adapter = requested_adapter(request);
-                let is_met =
+                let is_fulfilled =
                     report.held(&adapter).is_some_and(|version| version >= request.version);
                 let is_loading = report.is_loading(&adapter);
                 let has_base = report.holdings.iter().any(|holding| holding.base == request.base);
-                if !is_met && !state.met.contains(&adapter) && !is_loading && has_base {
+                if !is_fulfilled && !state.fulfilled.contains(&adapter) && !is_loading && has_base {
                     let since = state.requested.get(&adapter).copied().unwrap_or(state.received);
                     load_requests.push((request, since));
                 }
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -66,6 +66,6 @@
     fn awaited_adapters(&self, router: &SocketAddr) -> usize {
         let load_requests =
             self.notices.get(router).into_iter().flat_map(|state| &state.notice.load_requests);
-        load_requests.filter(|request| request.waiting > 0 && self.is_met(request)).count()
+        load_requests.filter(|request| request.waiting > 0 && self.is_fulfilled(request)).count()
     }
 }
--- a/crates/core/src/direct/loader/report.rs
+++ b/crates/core/src/direct/loader/report.rs
@@ -19,7 +19,7 @@
         let incarnation = self.incarnation()?;
         let report = self.report.as_ref()?;
         self.sequence += 1;
-        let load_requests = self.unmet_requests(report);
+        let load_requests = self.unfulfilled_requests(report);
         let awaited = load_requests
             .into_iter()
             .map(|(request, _)| request)
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -173,18 +173,18 @@
     /// Entries missing since an outage, and until when they are still used.
     lapsed: HashMap<InstanceId, Timestamp>,
     grace_until: Timestamp,
-    is_out: bool,
+    is_store_lost: bool,
 }
 
 impl TargetList {
     /// Records that the store cannot be reached; known entries stay in use.
     pub fn note_outage(&mut self) {
-        self.is_out = true;
+        self.is_store_lost = true;
     }
 
     /// Records that the store answered at `now`; after an outage this starts the grace period.
     pub fn note_contact(&mut self, now: Timestamp) {
-        if std::mem::take(&mut self.is_out) {
+        if std::mem::take(&mut self.is_store_lost) {
             self.grace_until = now + LAPSE_GRACE;
         }
     }
@@ -245,7 +245,7 @@
     }
 
     fn remove(&mut self, id: &InstanceId, now: Timestamp) {
-        let is_kept = self.is_out || now < self.grace_until;
+        let is_kept = self.is_store_lost || now < self.grace_until;
         let is_draining = self.entries.get(id).is_none_or(|entry| entry.is_draining);
         if is_kept && !is_draining {
             let until = self.grace_until.max(now);
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -24,10 +24,10 @@
 /// store transfers the adapter once more, while the preferred target's host may have it in memory, and later
 /// calls to the preferred target do not profit: the load costs the fleet what it costs the call. The factor is
 /// above 1 because the engine also evicts an adapter that is preferred there.
-const STRAY_LOADS: f64 = 1.6;
+const UNPREFERRED_LOAD_FACTOR: f64 = 1.6;
 /// The same at the spare target, the one after the preferred ones. It takes their overflow, and thus later
 /// calls for the adapter too.
-const SPARE_LOADS: f64 = 1.0;
+const SPARE_LOAD_FACTOR: f64 = 1.0;
 /// Advantage that another target needs for a call to move away from the one where it waits for its adapter:
 /// the load there has begun, and a load elsewhere starts from the beginning.
 const MOVE_MS: f64 = 250.0;
@@ -65,7 +65,7 @@
     /// Target at which the call waits for its adapter; `None` before its first choice.
     pub waiting_at: Option<&'a TargetIncarnation>,
     /// Whether the router may request a loader's report before it decides.
-    pub may_ask: bool,
+    pub may_request_report: bool,
 }
 
 /// The next step for a call.
@@ -74,7 +74,7 @@
     /// Send it; the version is the one of the adapter that the target holds, `None` without an adapter.
     Send(TargetIncarnation, Option<AdapterVersion>),
     /// Request a report from the target's loader and choose again: the last report is too old or missing.
-    Ask(TargetIncarnation),
+    RequestReport(TargetIncarnation),
     /// Have the adapter loaded there, at this version or a newer one, then send the call.
     Load(TargetIncarnation, AdapterId, AdapterVersion),
     /// Engines are up but empty; wait until their loaders have loaded the base model.
@@ -133,8 +133,8 @@
     };
     let incarnation = target.entry.incarnation.clone();
     let Some(adapter) = adapter else { return TargetChoice::Send(incarnation, None) };
-    if need.may_ask && !target.is_report_sufficient(&adapter, now) {
-        return TargetChoice::Ask(incarnation);
+    if need.may_request_report && !target.is_report_sufficient(&adapter, now) {
+        return TargetChoice::RequestReport(incarnation);
     }
     let newest = pool.newest_version(&adapter);
     match target.held_version(&adapter, now) {
@@ -277,26 +277,27 @@
     if target.held_version(adapter, now).is_some_and(|held| held >= newest) {
         return 0.0;
     }
-    let stray =
+    let unpreferred =
         match preferred.iter().position(|incarnation| *incarnation == target.entry.incarnation) {
             Some(index) if index + 1 < preferred.len() => 0.0,
-            Some(_) => SPARE_LOADS * pool.wait_estimates().load_ms(),
-            None => STRAY_LOADS * pool.wait_estimates().load_ms(),
+            Some(_) => SPARE_LOAD_FACTOR * pool.wait_estimates().load_ms(),
+            None => UNPREFERRED_LOAD_FACTOR * pool.wait_estimates().load_ms(),
         };
     if target.is_loader_silent(now) {
-        return stray + NO_LOADER_MS;
+        return unpreferred + NO_LOADER_MS;
     }
-    let stray = stray + if target.was_recently_saturated(now) { SATURATED_LOAD_MS } else { 0.0 };
+    let unpreferred =
+        unpreferred + if target.was_recently_saturated(now) { SATURATED_LOAD_MS } else { 0.0 };
     let Some(report) = target.fresh_report(now) else {
-        return stray + pool.wait_estimates().load_ms() + pool.wait_estimates().queue_ms();
+        return unpreferred + pool.wait_estimates().load_ms() + pool.wait_estimates().queue_ms();
     };
     let load = f64::from(report.load_ms);
     if target.is_loading(adapter, now) {
-        return stray + load * LOADING_SHARE;
+        return unpreferred + load * LOADING_SHARE;
     }
     // A call that waits there already is itself part of the queue.
     let queue = if waits_there { 0.0 } else { f64::from(report.queue_ms) };
-    stray + load + queue
+    unpreferred + load + queue
 }
 
 /// Expected wait for an adapter slot, if the adapter must be loaded. The caller adds it only for targets
--- a/crates/core/src/direct/sharing/order.rs
+++ b/crates/core/src/direct/sharing/order.rs
@@ -68,17 +68,17 @@
         is_usable: impl Fn(&SocketAddr) -> bool,
     ) -> Option<SocketAddr> {
         let own_rank = relay_rank(&own);
-        let is_ahead =
+        let has_higher_rank =
             |router: &&RankedRouter| router.rank > own_rank && is_usable(&router.address);
-        let ahead: Vec<&RankedRouter> = self.first.iter().filter(is_ahead).collect();
-        let chosen = match &ahead[..] {
+        let higher: Vec<&RankedRouter> = self.first.iter().filter(has_higher_rank).collect();
+        let chosen = match &higher[..] {
             [_, relays @ ..] if !relays.is_empty() && self.position(own).is_none() => {
                 let weight = |router: &&&RankedRouter| {
                     xxh3_64_with_seed(&router.rank.to_le_bytes(), own_rank)
                 };
                 relays.iter().max_by_key(weight)
             }
-            _ => ahead.first(),
+            _ => higher.first(),
         };
         chosen.map(|router| router.address)
     }
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -66,7 +66,7 @@
     /// Whether it has read the configuration and the list of targets.
     pub is_listed: bool,
     /// Time up to which it has all changes.
-    pub heard_at: Timestamp,
+    pub synced_at: Timestamp,
     /// Time from the start of a target's draining to the last call that may reach it.
     pub drain_time: Duration,
 }
@@ -150,7 +150,7 @@
         };
         match (self.source, self.listed_at) {
             (StoreSource::Router, _) if is_first => Some("this router is at the head of the line"),
-            (StoreSource::Router, _) if is_past(view.heard_at, own_share) => {
+            (StoreSource::Router, _) if is_past(view.synced_at, own_share) => {
                 Some("no other router has told enough")
             }
             (StoreSource::Undecided, Some(at)) if is_first && is_past(at, FIRST_SETTLE_SHARE) => {
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -155,7 +155,7 @@
             });
             let chosen = match choice {
                 TargetChoice::Send(incarnation, _)
-                | TargetChoice::Ask(incarnation)
+                | TargetChoice::RequestReport(incarnation)
                 | TargetChoice::Load(incarnation, ..) => Some(incarnation),
                 TargetChoice::AwaitBase | TargetChoice::Nowhere => None,
             };
--- a/crates/core/tests/core/direct/backlog.rs
+++ b/crates/core/tests/core/direct/backlog.rs
@@ -48,7 +48,7 @@
             excluded: &[],
             routers: 2,
             waiting_at: None,
-            may_ask: false,
+            may_request_report: false,
         };
         let choice = choose_target(&pool, &need, ms(at + 5), || 0.5);
         assert_eq!(choice, TargetChoice::Send(free.into(), Some(1)));
--- a/crates/core/tests/core/direct/customers/limits.rs
+++ b/crates/core/tests/core/direct/customers/limits.rs
@@ -41,7 +41,7 @@
     fleet.call(0, 8_501);
     assert!(!fleet.records[0].is_run, "8 s hold 8,500");
     assert!(
-        (LimitShares::new(&customer_rule(limit), FleetSize::new(3, 3)).largest - 8_500.0).abs()
+        (LimitShares::new(&customer_rule(limit), FleetSize::new(3, 3)).max_cost - 8_500.0).abs()
             < 1e-6
     );
 }
@@ -217,10 +217,10 @@
         faults.extend(fleet.inject_fault(&mut rng));
         let share = rng.random_range(0.2..6.0);
         let fixed_router = rng.random_range(0..routers);
-        let largest = (rate * rng.random_range(0.01..0.3)).max(2.0) as u32;
+        let max_cost = (rate * rng.random_range(0.01..0.3)).max(2.0) as u32;
         let frozen = fleet.frozen_routers.clone();
         let seconds = rng.random_range(1..4);
-        send_calls(&mut fleet, rate * share, (1, largest), seconds, |rng, now| {
+        send_calls(&mut fleet, rate * share, (1, max_cost), seconds, |rng, now| {
             let router =
                 if fixed_router % 2 == 0 { fixed_router } else { rng.random_range(0..routers) };
             unfrozen_router(&frozen, router, routers, now)
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -191,10 +191,10 @@
         let directory = there.take(&presence(zone, 5, true), ms(0));
         peer_table.note(&directory, ms(0));
     }
-    assert_eq!(peer_table.zones_to_ask(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
-    assert_eq!(peer_table.zones_to_ask(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
-    assert_eq!(peer_table.zones_to_ask(&zones, 10, ms(10_000)), [&zones[1]]);
-    assert!(peer_table.zones_to_ask(&[], 10, ms(10_000)).is_empty());
+    assert_eq!(peer_table.zones_to_query(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
+    assert_eq!(peer_table.zones_to_query(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
+    assert_eq!(peer_table.zones_to_query(&zones, 10, ms(10_000)), [&zones[1]]);
+    assert!(peer_table.zones_to_query(&[], 10, ms(10_000)).is_empty());
 }
 
 /// Guards against a router that counts itself as the only one because no loader has sent it others yet.
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -263,7 +263,7 @@
             excluded: &[],
             routers: self.plan.routers,
             waiting_at: None,
-            may_ask: self.now < arrived + 200,
+            may_request_report: self.now < arrived + 200,
         };
         let rng = &mut self.rng;
         match choose_target(&router.pool, &need, now, || rng.random()) {
@@ -274,7 +274,7 @@
                 self.notify(index, &incarnation);
                 self.push(self.now + RUN_MS, Event::Ended(index, incarnation, id));
             }
-            TargetChoice::Ask(incarnation) => {
+            TargetChoice::RequestReport(incarnation) => {
                 if router.pool.request_report(&incarnation, now) {
                     self.notify(index, &incarnation);
                 }
@@ -341,7 +341,7 @@
         let round = router.presences;
         router.presences += 1;
         let zones: Vec<ZoneName> = (0..ZONES).map(zone_name).filter(|z| *z != zone).collect();
-        let queried = router.peer_table.zones_to_ask(&zones, round, ms(self.now));
+        let queried = router.peer_table.zones_to_query(&zones, round, ms(self.now));
         let queried: Vec<usize> =
             queried.into_iter().map(|other| self.registry(other)[round % 2]).collect();
         let mut own = self.registry(&zone);
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -81,28 +81,28 @@
     let mut pool = pool();
     let call = model_call(Some("h7"));
     let (service, zone) = (ENGINES.into(), "a".into());
-    let ask = CallNeed { may_ask: true, ..need(&service, &zone, Some(&call)) };
+    let may_request = CallNeed { may_request_report: true, ..need(&service, &zone, Some(&call)) };
     let choose =
         |pool: &TargetPool, need: &CallNeed<'_>, at| choose_target(pool, need, ms(at), || 0.5);
     take_report(&mut pool, report("e2", 1, &[("h7", 1)]), ms(0));
     let send = TargetChoice::Send("e2".into(), Some(1));
-    assert_eq!(choose(&pool, &ask, 10), send, "fresh");
-    assert_eq!(choose(&pool, &ask, 400), TargetChoice::Ask("e2".into()), "old");
+    assert_eq!(choose(&pool, &may_request, 10), send, "fresh");
+    assert_eq!(choose(&pool, &may_request, 400), TargetChoice::RequestReport("e2".into()), "old");
     assert_eq!(
-        choose(&pool, &CallNeed { may_ask: false, ..ask.clone() }, 400),
+        choose(&pool, &CallNeed { may_request_report: false, ..may_request.clone() }, 400),
         send,
         "no more requests"
     );
     pool.request_report(&"e2".into(), ms(400));
     assert_eq!(
-        choose(&pool, &ask, 540),
-        TargetChoice::Ask("e2".into()),
+        choose(&pool, &may_request, 540),
+        TargetChoice::RequestReport("e2".into()),
         "an answer may be in transit"
     );
-    assert_eq!(choose(&pool, &ask, 560), send, "silent: another request would not help");
+    assert_eq!(choose(&pool, &may_request, 560), send, "silent: another request would not help");
     take_report(&mut pool, report("e2", 2, &[("h7", 1)]), ms(700));
     pool.call_started(&"e2".into(), Some(&adapter("h7")), 0);
-    assert_eq!(choose(&pool, &ask, 1_700), send, "in use by a call of this router");
+    assert_eq!(choose(&pool, &may_request, 1_700), send, "in use by a call of this router");
 }
 
 /// All batch slots of the preferred engine are taken. One becomes free within about a twelfth of a run, while
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -57,7 +57,7 @@
     view: PeerView,
     log: ChangeLog,
     revision: Option<u64>,
-    heard_at: u64,
+    synced_at: u64,
     pending: Option<PendingQuery>,
     next_query: u64,
     next_watch: u64,
@@ -165,7 +165,7 @@
     /// Maximum age of the state of any router without a fault, in ms.
     pub fn max_age(&self) -> u64 {
         let sound = self.routers.iter().filter(|router| router.fault == RouterFault::None);
-        sound.map(|router| self.now - router.heard_at).max().unwrap_or(0)
+        sound.map(|router| self.now - router.synced_at).max().unwrap_or(0)
     }
 
     /// Simulates `time` ms; returns the maximum age that the state of a router without a fault had after the
@@ -225,7 +225,7 @@
         let view = SourceView {
             order: &router.view.same_zone,
             is_listed: true,
-            heard_at: ms(router.heard_at),
+            synced_at: ms(router.synced_at),
             drain_time: ms(DRAIN),
         };
         if router.machine.update(&view, now).is_some() {
@@ -271,7 +271,7 @@
         let from = router.revision.unwrap_or(0);
         router.log.append(from, revision, self.changes[from as usize..].to_vec());
         router.revision = Some(revision);
-        router.heard_at = self.now;
+        router.synced_at = self.now;
         router.next_watch = self.now + WATCH_ROUND;
     }
 
@@ -312,13 +312,13 @@
     fn is_too_stale(&self, index: usize) -> bool {
         let router = &self.routers[index];
         let max_staleness = router.machine.source().max_staleness(ms(DRAIN));
-        ms(self.now - router.heard_at) >= max_staleness
+        ms(self.now - router.synced_at) >= max_staleness
     }
 
     fn send_changes(&mut self, sender: usize, client: usize) {
         let known = self.routers[client].revision.unwrap_or(0);
         let upstream = &self.routers[sender];
-        let (heard_at, revision) = (upstream.heard_at, upstream.log.revision());
+        let (synced_at, revision) = (upstream.synced_at, upstream.log.revision());
         let delta = upstream.log.since(known);
         let logged = upstream.revision.map_or(0, |_| revision);
         let kinds: Vec<_> = delta.into_iter().collect();
@@ -336,7 +336,7 @@
         let hints = changes.into_iter().map(|change| LoggedChange { change, importance }).collect();
         router.log.append(known, logged.max(known), hints);
         router.revision = Some(logged.max(known));
-        router.heard_at = router.heard_at.max(heard_at);
+        router.synced_at = router.synced_at.max(synced_at);
     }
 }
 
@@ -347,7 +347,7 @@
         view: PeerView::default(),
         log: ChangeLog::default(),
         revision: None,
-        heard_at: now,
+        synced_at: now,
         pending: None,
         next_query: now,
         next_watch: now,
--- a/crates/core/tests/core/direct/support.rs
+++ b/crates/core/tests/core/direct/support.rs
@@ -132,5 +132,13 @@
     zone: &'a ZoneName,
     model: Option<&'a ModelCall>,
 ) -> CallNeed<'a> {
-    CallNeed { service, model, zone, excluded: &[], routers: 2, waiting_at: None, may_ask: false }
+    CallNeed {
+        service,
+        model,
+        zone,
+        excluded: &[],
+        routers: 2,
+        waiting_at: None,
+        may_request_report: false,
+    }
 }
--- a/crates/daemon/src/router/context.rs
+++ b/crates/daemon/src/router/context.rs
@@ -179,7 +179,7 @@
 
     /// Zones of `all` whose router count this router queries with its presence number `round`.
     pub(crate) fn zones_to_ask<'a>(&self, all: &'a [ZoneName], round: usize) -> Vec<&'a ZoneName> {
-        self.routers.borrow().zones_to_ask(all, round, clock::now())
+        self.routers.borrow().zones_to_query(all, round, clock::now())
     }
 
     /// Number of routers in all zones, including this one.
@@ -267,7 +267,7 @@
                 excluded: &[],
                 routers,
                 waiting_at: None,
-                may_ask: false,
+                may_request_report: false,
             };
             let mut preferred = preferred_targets(&pool, &need, &adapter, now);
             preferred.pop();
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -328,7 +328,7 @@
             excluded: &self.excluded,
             routers: self.context.router_count(),
             waiting_at,
-            may_ask: u128::from(self.record.report_requests)
+            may_request_report: u128::from(self.record.report_requests)
                 < u128::from(constants::INITIAL_REPORT_REQUESTS) + waited,
         }
     }
@@ -396,7 +396,7 @@
                     ));
                     return Err(constants::RETURN_PAUSE);
                 }
-                TargetChoice::Ask(incarnation) => {
+                TargetChoice::RequestReport(incarnation) => {
                     let is_new =
                         self.context.request_report(&incarnation, constants::REPORT_WAIT).await;
                     self.record.report_requests += u32::from(is_new);
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -61,7 +61,7 @@
         let view = SourceView {
             order: &order,
             is_listed: self.context.is_listed(),
-            heard_at: self.context.confirmed_at.get(),
+            synced_at: self.context.confirmed_at.get(),
             drain_time: self.context.drain_time(),
         };
         if let Some(reason) = self.machine.update(&view, clock::now()) {
