--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// Number of a configuration's version; it only grows, not always by one.
+/// Number of a configuration's version; increases with each version, not always by one.
 pub type ConfigNumber = u64;
 
 /// Time limit for a caller to send a head, until a configuration sets another.
@@ -163,7 +163,7 @@
     pub limits: CallerLimits,
     /// Services by name.
     pub services: HashMap<ServiceName, Arc<ServiceSpec>>,
-    /// Customers; empty if callers are not told apart.
+    /// Customers; empty if callers are not identified.
     pub customers: CustomerTable,
     routes: HashMap<Arc<str>, HashMap<Arc<str>, Arc<RouteRule>>>,
 }
--- a/crates/core/src/direct/config/record.rs
+++ b/crates/core/src/direct/config/record.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Indexes the configuration; fails if its customers cannot be told apart.
+    /// Indexes the configuration; fails if two customers share a name, the hash of a name, or a key.
     pub fn into_config(self) -> Result<RouteConfig, CustomerFault> {
         let routes = self.routes.into_iter().map(Arc::unwrap_or_clone).collect();
         let customers = CustomerTable::new(self.customers)?;
--- a/crates/core/src/direct/demand.rs
+++ b/crates/core/src/direct/demand.rs
@@ -17,8 +17,8 @@
 /// Half-life of the counts that decide how many copies an adapter gets. Popularity changes within seconds, and until
 /// there are more copies, one engine gets all calls for the adapter.
 pub const RECENT_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Most adapters whose calls are counted; beyond it those with the lowest counts are dropped. Bounds memory, at about
-/// 100 bytes each.
+/// Maximum of adapters whose calls are counted; above it those with the lowest counts are dropped. Bounds memory, at
+/// about 100 bytes each.
 const COUNT_LIMIT: usize = 4_096;
 /// Count at or below which an adapter is dropped when there are too many, and counts as unused.
 const COUNT_FLOOR: f64 = 0.1;
@@ -108,9 +108,9 @@
         reported.max(own * routers as f64)
     }
 
-    /// Adapters that this router's callers used lately, with at least `rate` calls a second over the fleet of `routers`.
-    /// Only routers that have calls for an adapter maintain its copies; if all did, their load requests would grow with
-    /// the number of routers times that of adapters.
+    /// Adapters that this router's callers used within the last seconds, with at least `rate` calls a second over the
+    /// fleet of `routers`. Only routers that have calls for an adapter maintain its copies; if all did, their load
+    /// requests would grow with the number of routers times that of adapters.
     pub fn wanted(&self, rate: f64, routers: usize, now: Timestamp) -> Vec<AdapterId> {
         let recent = self.own.iter().filter(|(_, count)| count.read(now) > COUNT_FLOOR);
         let wanted = recent.filter(|(adapter, _)| self.rate(adapter, routers, now) >= rate);
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -1,11 +1,11 @@
 //! Which routers are alive, by their presence messages to loaders.
 //!
-//! Routers of an availability zone share one watch of the platform's store, and all routers of the fleet share
-//! one retry budget, so each needs the addresses of its zone's routers and the number of all. When every loader
-//! sent this to every router, the traffic grew with routers times loaders. Instead the routers of a zone register
-//! at two loaders, which all compute alike without exchanging messages and contact alternately. While no loader
-//! is known, as after a start of the whole fleet, they register at the routers named in their settings. Of other
-//! zones a router only learns the number of routers, from the loaders where those register.
+//! Routers of an availability zone share one watch of the platform's store, and all routers of the fleet share one
+//! retry budget, so each needs the addresses of its zone's routers and the number of all routers. When every loader
+//! sent this to every router, the traffic grew with routers times loaders. Instead the routers of a zone register at
+//! two loaders, which all compute alike without exchanging messages and contact alternately. While no loader is
+//! known, as after a start of the whole fleet, they register at the routers named in their settings. Of other zones a
+//! router only learns the number of routers, from the loaders where those register.
 
 use super::{
     membership::InstanceId,
@@ -33,7 +33,7 @@
 /// Time for which a loader counts a router as alive. A router sends its presence each second, to the loaders of
 /// its zone alternately, so that one of its datagrams may be lost.
 const PRESENCE_TTL: Duration = Duration::from_secs(5);
-/// Time for which a router listed by a loader counts as alive: three answers.
+/// Time for which a router listed by a loader counts as alive: a loader answers each second, so three answers.
 const PEER_TTL: Duration = Duration::from_secs(3);
 /// TTL of the number of a zone's routers: two rounds of queries over ten zones. A zone that is cut off still
 /// counts for as long: shares of a common budget are then too small, never too large.
@@ -53,7 +53,7 @@
 
 /// Minimum pause between a router's probes of a lost store, if other routers would send it the changes.
 const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
-/// The pause is at least this long for each router of a higher rank.
+/// Minimum of the same pause for each router of a higher rank, so that few routers of a zone probe.
 const POSITION_PAUSE: Duration = Duration::from_millis(250);
 
 /// Number of routers in the largest expected fleet.
@@ -105,8 +105,8 @@
     ranked.into_iter().take(REGISTRY_LOADERS).map(|(_, _, id)| id.clone()).collect()
 }
 
-/// Number of relays, the watcher included, in a zone of `routers`. With as many relays as each has routers
-/// behind it, the load of the busiest is lowest.
+/// Number of relays, the watcher included, in a zone of `routers`. The busiest router's load is lowest if a relay
+/// serves as many routers as there are relays.
 fn same_zone_limit(routers: usize) -> usize {
     SAME_ZONE_FLOOR.max(routers.isqrt() + 1)
 }
@@ -202,8 +202,8 @@
 
 impl PeerView {
     /// Minimum pause between probes of a lost store by the router at `own`. A router with an upstream probes only
-    /// in case the store serves it and not the upstream, and the less often the lower its rank: the calls of a
-    /// zone in an outage do not grow with its routers.
+    /// because the store may answer it and not the upstream. The lower its rank, the longer the pause, so that a
+    /// zone's calls in an outage do not grow with its routers.
     pub fn probe_pause(&self, own: SocketAddr) -> Duration {
         if self.same_zone.upstream(own, |_| true).is_none() {
             return Duration::ZERO;
@@ -213,7 +213,7 @@
     }
 }
 
-/// One router's table of the others.
+/// What one router knows of the others: addresses, numbers per zone, and reports in the store.
 #[derive(Debug, Default)]
 pub struct RouterTable {
     seen: BTreeMap<PeerRouter, Timestamp>,
@@ -280,14 +280,14 @@
     /// Upper bound of the number of routers; `counted` is the number known from loaders, `started` the start of
     /// this router.
     ///
-    /// A router that no loader has sent others to need not be the only one. Other routers have reports in the
-    /// store; until those are read, the bound is the largest fleet.
+    /// Even if no loader has listed other routers, there may be some. They have reports in the store; until those are
+    /// read, the bound is the largest fleet.
     pub fn max_routers(&self, counted: usize, started: Timestamp, now: Timestamp) -> usize {
         let is_new = now.saturating_sub(started) < DISCOVERY_TIME;
         if is_new || !self.is_listed { LARGEST_FLEET } else { counted.max(self.report_count() + 1) }
     }
 
-    /// Zones of `all` whose number of routers to query in round `round`: all in the first rounds, later those
+    /// Zones of `all` whose number of routers is to be queried in round `round`: all in the first rounds, later those
     /// without a known number and one of the others.
     pub fn zones_to_query<'a>(
         &self,
@@ -302,7 +302,7 @@
         due.collect()
     }
 
-    /// The other routers as the control thread sees them, for the router at `own` in `zone`.
+    /// The routers that the router at `own` in `zone` may query for changes of the store.
     pub fn view(&self, zone: &ZoneName, own: SocketAddr, now: Timestamp) -> PeerView {
         let alive = self.seen.iter().filter(|(_, seen)| now.saturating_sub(**seen) < PEER_TTL);
         let (same_zone, other_zones): (Vec<_>, Vec<_>) =
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -29,13 +29,14 @@
 const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Requests a second, from all routers together, to a meter that has no units left of a limit.
 const REFUSED_REQUEST_RATE: f64 = 100.0;
-/// The same for each unit a second of the limit, so that routers claim new units soon after they are refilled.
+/// The same rate for each unit a second of the limit, applied if it is higher: routers must request new units soon
+/// after the meter's bucket is refilled.
 const REFUSED_REQUESTS_PER_UNIT: f64 = 4.0;
 /// Shortest pause after a refusal.
 const MIN_REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause after a refusal: the limit may have ended meanwhile, which only another attempt shows.
 const MAX_REFUSAL_PAUSE: Duration = Duration::from_secs(3);
-/// Time after its last use at which an account is dropped.
+/// Idle time after which an account is dropped.
 const ACCOUNT_TTL: Duration = Duration::from_mins(1);
 
 /// Whether a limit admits a call.
@@ -45,7 +46,7 @@
     Granted,
     /// The limit is used up.
     Refused {
-        /// Time after which it may be admitted; `None` if its cost alone exceeds the limit.
+        /// Time after which the call may be admitted; `None` if its cost alone exceeds the limit.
         retry_after: Option<Duration>,
     },
 }
@@ -68,7 +69,7 @@
     pub used: u64,
     /// Units left over all routers, as its meter last reported.
     pub left: f64,
-    /// Age of that figure; `None` if no meter has reported any yet.
+    /// Age of `left`; `None` if no meter has reported it yet.
     pub age: Option<Duration>,
 }
 
@@ -278,12 +279,12 @@
         });
     }
 
-    /// Waiting calls that were decided since the last call of this function.
+    /// Removes and returns the decisions on waiting calls that were not returned yet.
     pub fn take_decided(&mut self) -> Vec<(CallTicket, SpendDecision)> {
         std::mem::take(&mut self.decided)
     }
 
-    /// Reports that are due, each with the target whose loader runs the meter.
+    /// Returns the reports that are due, each with the target whose loader runs the meter.
     ///
     /// Each report carries `limit_updates`, updates of targets' limits.
     pub fn take_reports(
@@ -375,7 +376,7 @@
         self.is_report_due = true;
     }
 
-    /// Pause before this router tries a limit again that refused a call, where units are expected after `retry_after`.
+    /// Pause after a refusal before this router tries the limit again; units are expected after `retry_after`.
     ///
     /// Without the pause, hundreds of routers would send the meter a request for each call that could go to the target.
     /// Without a meter, the pause is the shortest one, as a unit may be drawn at any time.
@@ -397,7 +398,7 @@
         account.meter.is_some() && account.pending.is_none() && account.missing(&shares) >= 1.0
     }
 
-    /// State of a limit; `None` if no call used it lately.
+    /// State of a limit; `None` if no call used it within the last minute.
     pub fn view(&self, tag: LimitTag, now: Timestamp) -> Option<AccountView> {
         let account = self.accounts.get(&tag)?;
         let status = account.status;
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -11,20 +11,21 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time for which a meter's status is used without a new request. Within it, calls beyond the limit and slices that
-/// would not be granted cost no round trip.
+/// Time for which a meter's last status is reused. Within it, calls beyond the limit are refused without a round
+/// trip, and slices that the meter would not grant are not requested.
 const STATUS_TTL: Duration = Duration::from_millis(50);
-/// Slices that a meter must have left to grant a full one.
+/// Number of slices that a meter must have left to grant a full one.
 const SCARCE_SLICES: f64 = 10.0;
 /// Longest time from the first call under a limit to the first grant.
 const FIRST_GRANT_TIME: Duration = Duration::from_millis(300);
-/// Shortest time stated to a refused call after which it may be sent again.
+/// Shortest retry-after time in a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Longest time stated to a refused call; an estimate beyond it is unreliable.
+/// Longest retry-after time in a refusal; a longer estimate is unreliable.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Idle time after which a router drops the units that it holds beyond one slice.
 const SURPLUS_TTL: Duration = Duration::from_secs(1);
-/// Part of the limit that is given out by draws; the rest covers routers that draw a unit at the same time.
+/// Part of the limit that routers without a meter may use by random draws; the rest covers routers that draw a unit
+/// at the same time.
 const DRAW_SHARE: f64 = 0.5;
 /// Time for which a drawn unit may be used.
 const DRAWN_TTL: Duration = Duration::from_secs(1);
@@ -44,7 +45,7 @@
     pub(super) rule: LimitRule,
     /// Seed of the draws made while there is no meter.
     seed: u64,
-    /// Units that may be used without a request; below 0 where calls were admitted before their grant.
+    /// Units that may be used without a request; below 0 if calls were admitted before their grant.
     pub(super) balance: f64,
     pub(super) window: UsageWindow,
     pub(super) meter: Option<MeterTag>,
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Drops idle units beyond one slice, such as those of a caller that disconnected. The meter's bucket counts them as
-    /// used when they were granted; used later, they would add to what is granted then.
+    /// Drops idle units beyond one slice, such as those of a caller that disconnected. The meter counted them as used
+    /// when it granted them; if they were used later, they would add to the units that it grants then.
     pub(super) fn drop_unused(&mut self, shares: &LimitShares, now: Timestamp) {
         let is_idle = self.waiting.is_empty() && now.saturating_sub(self.used) >= SURPLUS_TTL;
         if self.meter.is_some() && is_idle {
@@ -226,8 +227,9 @@
         }
     }
 
-    /// Draws at random whether one unit may be used, where a router's even share never holds a whole unit. If routers
-    /// accumulated their shares, all could use them at the same moment; drawn units are spread over time, and expire.
+    /// Decides at random whether one unit may be used, for a limit so small that a router's even share never reaches
+    /// a whole unit. If routers accumulated their shares, all could use them at the same moment; drawn units are
+    /// spread over time, and expire.
     fn draw_unit(&mut self, units: f64, now: Timestamp) {
         let draw = xxh3_64_with_seed(&now.as_nanos().to_le_bytes(), self.seed);
         if (draw as f64) < DRAW_SHARE * units * u64::MAX as f64 {
--- a/crates/core/src/direct/limits/messages.rs
+++ b/crates/core/src/direct/limits/messages.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Short stable hash that identifies a meter: that of the id of the target whose loader runs it.
+/// Short stable hash that identifies a meter, computed from the id of the target whose loader runs it.
 pub type MeterTag = u32;
 
 /// Number that a meter assigns to a router on its first report.
@@ -22,9 +22,9 @@
 /// Report of a router to a meter: a heartbeat, the meters that it reaches, and its requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// Identifies this start of the router.
+    /// Identifies one start of the router; a restarted router has another id.
     pub boot: BootId,
-    /// Grows with each report of this start, over all meters.
+    /// Increases with each report that the router sends to any meter after this start.
     pub sequence: u32,
     /// The meter that the report is sent to.
     pub meter: MeterTag,
@@ -60,9 +60,9 @@
     pub is_quiet: bool,
     /// Units requested since the enrolment, including those granted.
     pub wanted: u64,
-    /// Units of these that waiting calls need; the rest refills the router's slice.
+    /// Requested units that waiting calls need; the rest refills the router's slice.
     pub needed: u32,
-    /// Cost of the call that waits longest for a grant; 0 if none waits.
+    /// Cost in units of the call that has waited longest for a grant; 0 if none waits.
     pub first: u32,
 }
 
@@ -75,7 +75,7 @@
     pub sequence: u32,
     /// The router's enrolment at this meter.
     pub enrolment: EnrolmentId,
-    /// One grant for each request of the report, unless the meter has too many limits.
+    /// One grant for each request of the report; fewer if the meter cannot track more limits.
     pub grants: Vec<LimitGrant>,
     /// Limits of targets that the report lacked or stated differently.
     #[serde(rename = "news")]
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -22,9 +22,9 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Most routers that a meter tracks.
+/// Maximum of routers that a meter tracks.
 const MAX_ROUTERS: usize = 2_048;
-/// Most limits that a meter tracks.
+/// Maximum of limits that a meter tracks.
 const MAX_LIMITS: usize = 8_192;
 /// Time after its last report at which a router is dropped, together with the counts of its grants.
 const ROUTER_TTL: Duration = Duration::from_secs(10);
@@ -98,7 +98,7 @@
         }
         self.count_routers(now);
         let enrolment = self.routers.get(&report.boot)?.enrolment;
-        // The units requested under another enrolment were counted from another start.
+        // A request under another enrolment counts its units from another start, and is not granted.
         let is_enrolled = report.enrolment == enrolment;
         let requests = report.requests.iter();
         let grants = requests.filter_map(|request| {
@@ -221,7 +221,8 @@
         let outstanding = request.wanted.saturating_sub(*granted);
         let max_grant = left + f64::from(request.overdraft);
         if is_enrolled && left > 0.0 && f64::from(request.first) <= max_grant {
-            // Slices serve small calls only, as a large call fits into none. So slices shrink with the units left.
+            // Only small calls can use a slice, as a large call does not fit into one. So slices shrink with the
+            // units left.
             let needed = (outstanding as f64).min(f64::from(request.needed));
             let slice =
                 (outstanding as f64 - needed).min(MAX_SLICE_PART * (left - needed).max(0.0));
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -23,7 +23,7 @@
 /// Time for which a meter must answer before it is used again, so that it has reports of all its routers before it
 /// grants units.
 const STEADY_TIME: Duration = Duration::from_secs(1);
-/// Time allowed for a first answer once meters are known.
+/// Time for which calls wait for a meter's first answer, from the moment when the first meter is known.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Pause between reports without requests to one meter, in a fleet of `routers`.
@@ -164,12 +164,12 @@
         &self.links
     }
 
-    /// The link to a meter, for changes.
+    /// Mutable link to a meter; `None` if no meter has this tag.
     pub fn link_mut(&mut self, tag: MeterTag) -> Option<&mut MeterLink> {
         self.links.iter_mut().find(|link| link.tag == tag)
     }
 
-    /// The link to a meter.
+    /// The link to a meter; `None` if no meter has this tag.
     pub fn link(&self, tag: MeterTag) -> Option<&MeterLink> {
         self.links.iter().find(|link| link.tag == tag)
     }
--- a/crates/core/src/direct/limits/terms.rs
+++ b/crates/core/src/direct/limits/terms.rs
@@ -31,7 +31,7 @@
 }
 
 impl UsageLimit {
-    /// Units that a call uses which states these token counts.
+    /// Units that a call uses; `tokens` is `None` if it states no token counts.
     pub fn cost(&self, tokens: Option<TokenCounts>) -> UsageCost {
         match (self.unit, tokens) {
             (UsageUnit::Calls, _) => 1,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Most units that the limit allows in any span of this length.
+    /// Maximum of units that the limit allows in any span of this length.
     pub fn total(&self, span: Duration) -> f64 {
         self.rate * span.as_secs_f64() + self.burst
     }
@@ -52,9 +52,9 @@
 pub struct LimitTerms {
     /// Span over which usage is counted.
     pub window: Duration,
-    /// Tolerance as a part of the limit.
+    /// Tolerance as a part of the units that the limit allows in a window.
     pub overage: f64,
-    /// Further tolerance in units.
+    /// Tolerance in units, added to that of `overage`.
     pub slack: f64,
 }
 
@@ -118,7 +118,8 @@
     pub max_cost: f64,
     /// Units a second that one router refills by itself while it has no meter.
     pub even_rate: f64,
-    /// Most units that one router may use at once while it has no meter. A call that costs more is refused meanwhile.
+    /// Maximum of units that one router may use at once while it has no meter. A call that costs more is refused
+    /// meanwhile.
     pub even_capacity: f64,
 }
 
--- a/crates/core/src/direct/load_shedding.rs
+++ b/crates/core/src/direct/load_shedding.rs
@@ -4,7 +4,7 @@
 //! remaining targets can serve them. A target's own queue then stays full: throughput is the same as with a
 //! short queue, but every call is late. With 6 slots, a queue of 24 and 30 ms a call, the wait is 120 ms,
 //! which with the run itself uses up an objective of 150 ms. Refusing the excess calls at once keeps the wait
-//! short for the others, and tells the refused callers at once when to retry.
+//! short for the others, and the refused callers learn at once when to retry.
 //!
 //! Many routers share few slots, so that most have less than one call in flight at a target and a limit on
 //! calls in flight would have no effect. Instead each router refuses a share of its calls by the latency that
@@ -20,13 +20,13 @@
 const FRESH_AGE: Duration = Duration::from_millis(400);
 /// Half-life of an older estimate, so that a target without calls gets some again.
 const HALF_LIFE: Duration = Duration::from_millis(500);
-/// Expected latency, as a share of the objective, above which calls are refused. The run itself varies by about
-/// half and waits vary more, so that a mean of two thirds of the objective is in time for most calls.
+/// Expected latency, as a share of the objective, above which calls are refused. Run times vary by about half and
+/// waits vary more, so that most calls meet their objective at a mean of two thirds of it.
 const SHED_START: f64 = 0.45;
 /// Growth of the refused share with the latency above [`SHED_START`]. At twice the calls that can be served, the
 /// latency settles at 0.7 of the objective.
 const SHED_SLOPE: f64 = 2.0;
-/// Weight of a new sample of the calls at a service's targets; a router has about ten calls a second.
+/// Weight of a new sample of the number of calls in flight; a router takes one at each call, about ten a second.
 const CONCURRENCY_WEIGHT: f64 = 0.1;
 /// Share of the targets' slots in use above which calls count as queueing; below 1 as they are spread unevenly.
 const QUEUE_SHARE: f64 = 0.8;
@@ -63,13 +63,13 @@
 }
 
 impl ConcurrencyGauge {
-    /// Adds a sample; called at each call.
+    /// Adds a sample, once for each new call.
     pub fn record(&mut self, in_flight: u32) {
         self.calls += (f64::from(in_flight) - self.calls) * CONCURRENCY_WEIGHT;
     }
 
     /// Whether calls probably queue at the targets: whether the calls of all routers, each estimated to have
-    /// as many as this one, come near the targets' slots. Without this, slow targets would look overloaded,
+    /// as many as this one, nearly fill the targets' slots. Without this, slow targets would look overloaded,
     /// and calls would be refused although slots are free.
     pub fn shows_queue(&self, routers: usize, slots: u32) -> bool {
         self.calls * routers as f64 >= f64::from(slots) * QUEUE_SHARE
--- a/crates/core/src/direct/loader.rs
+++ b/crates/core/src/direct/loader.rs
@@ -49,7 +49,7 @@
 /// Time for which an adapter counts as in use after a router reported a new call for it, besides the calls
 /// reported as running: others may be in transit.
 const RECENT_USE_TIME: Duration = Duration::from_millis(150);
-/// Adapters whose demand is counted; above it those below [`DEMAND_FLOOR`] are dropped.
+/// Maximum of adapters whose demand is counted; at this number, those with demand below [`DEMAND_FLOOR`] are dropped.
 const DEMAND_LIMIT: usize = 1_024;
 /// Demand below which an adapter is dropped when there are too many.
 const DEMAND_FLOOR: f64 = 0.1;
@@ -60,7 +60,7 @@
 /// Interval of polling the engine's report during a load: one from host memory takes 25 ms, and calls wait
 /// for it.
 const FAST_POLL: Duration = Duration::from_millis(12);
-/// The same once a load has lasted longer than one from host memory.
+/// Interval of polling once [`FAST_POLL_TIME`] has passed: the load is not from host memory.
 const SLOW_POLL: Duration = Duration::from_millis(25);
 /// Time after an order during which [`FAST_POLL`] applies.
 const FAST_POLL_TIME: Duration = Duration::from_millis(60);
@@ -89,12 +89,12 @@
     received: Timestamp,
     /// When each load request was first seen.
     requested: HashMap<AdapterId, Timestamp>,
-    /// Load requests met since the notice arrived. The router drops a request only with its next notice;
-    /// if the adapter is evicted before that, the old request must not cause a second load.
+    /// Adapters whose load requests were fulfilled since the notice arrived. The router drops a request only with its
+    /// next notice; if the adapter is evicted before that, the old request must not cause a second load.
     fulfilled: HashSet<AdapterId>,
-    /// Whether it has requested a report and has not been sent one since.
+    /// Whether the router has requested a report that was not sent yet.
     wants_report: bool,
-    /// What it was last sent about the adapters that its calls wait for.
+    /// The last report to the router on adapters that its calls wait for.
     last_awaited: Option<AwaitedReport>,
 }
 
@@ -141,9 +141,9 @@
     memory: HostMemory,
     /// Whether the engine has reported since this process started.
     has_reported: bool,
-    /// Loads for calls in time since the last load for a late call.
+    /// Loads for calls that can still meet their objective, since the last load for a late call.
     timely_loads: u8,
-    /// The engine's state as all routers were last sent it.
+    /// The engine's state as last reported to all routers.
     reported_state: Option<EngineState>,
     /// Base models that routers last offered for an empty engine. Kept while no router has calls here, so
     /// that an engine that restarts empty gets its base model before the next call.
@@ -204,7 +204,7 @@
         now.saturating_sub(self.polled)
     }
 
-    /// Applies a router's notice; one that is older, from the same start, is dropped.
+    /// Applies a router's notice, unless it is older than the last one from the same start of the router.
     pub fn take_notice(&mut self, router: SocketAddr, notice: RouterNotice, now: Timestamp) {
         let is_old = self.notices.get(&router).is_some_and(|state| {
             state.notice.boot == notice.boot && state.notice.sequence >= notice.sequence
@@ -247,7 +247,7 @@
         self.notices.insert(router, state);
     }
 
-    /// Applies the id that the engine answered. The last report does not apply to another incarnation.
+    /// Applies the id with which the engine answered. If it is a new one, the last report no longer applies.
     pub fn take_instance(&mut self, instance: InstanceId) {
         if self.instance.as_ref() != Some(&instance) {
             self.report = None;
@@ -263,7 +263,7 @@
         if is_restarted {
             self.begin_incarnation();
         } else if !self.is_answering && report.started.is_none() {
-            // Without a start time, a new incarnation with the same order count cannot be told from the last.
+            // Without a start time, a new incarnation with the same order count looks like the last one.
             self.instance = None;
         }
         if !std::mem::replace(&mut self.has_reported, true) && report.order_count > 0 {
@@ -283,7 +283,8 @@
         self.report = Some(report);
     }
 
-    /// Resets the state of the earlier incarnation; requests that were met count again.
+    /// Drops the state of the earlier incarnation. Load requests that it fulfilled count as open again, as the new
+    /// incarnation holds no adapters.
     fn begin_incarnation(&mut self) {
         self.instance = None;
         self.lost.begin_incarnation();
@@ -338,7 +339,7 @@
         self.demand.entry(adapter).or_default().add(f64::from(count), now);
     }
 
-    /// The engine did not answer a query for its report or incarnation.
+    /// Records that the engine did not answer a query for its report or incarnation.
     pub fn note_silence(&mut self, now: Timestamp) {
         self.is_answering = false;
         self.polled = now;
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Calls known to use an adapter now.
+    /// Number of calls that use an adapter now; a call reported within [`RECENT_USE_TIME`] counts as one more.
     fn uses(&self, id: &AdapterId, running: &HashMap<AdapterId, u32>, now: Timestamp) -> u32 {
         let demand = self.demand.get(id);
         let is_fresh = demand.is_some_and(|demand| demand.lasting.age(now) < RECENT_USE_TIME);
@@ -411,8 +412,8 @@
         report.order_count = order.order_count + 1;
         if let OrderVerb::LoadAdapter(adapter, _) = &order.verb {
             self.count_timely_load(adapter, now);
-            // Routers report uses only now and then. Without this a new adapter would count as unused and
-            // be evicted before its first call is reported.
+            // Routers report uses only in their next notices. Without this a new adapter would count as unused and be
+            // evicted before its first call is reported.
             self.record_demand(adapter.clone(), 1, now);
         }
         let Some(report) = &mut self.report else { return };
@@ -420,7 +421,7 @@
             OrderVerb::LoadBase(_) => report.is_busy = answer == OrderAnswer::Accepted,
             OrderVerb::LoadAdapter(adapter, version) => {
                 if answer == OrderAnswer::Accepted {
-                    // A replacement waits for the runs of the old version, so its time says nothing about the
+                    // A replacement waits for the runs of the old version, so its time does not show the speed of the
                     // weight store.
                     if report.held(adapter).is_none() {
                         let from_host_memory = self.memory.holds(adapter);
--- a/crates/core/src/direct/loader/load_limiter.rs
+++ b/crates/core/src/direct/loader/load_limiter.rs
@@ -18,10 +18,10 @@
 const CONGESTED_RATIO: f64 = 1.5;
 /// Factor on the window after a load that took too long.
 const BACKOFF: f64 = 0.8;
-/// Growth of the window after as many uncongested loads as it holds.
+/// Growth of the window, in loads, after as many uncongested loads as its size.
 const GROWTH: f64 = 1.0;
-/// The same before any load took too long (slow start): one engine's loads alone never congest the store,
-/// and calls that wait while the window opens slowly are late.
+/// The same growth before any load has taken too long (slow start): one engine's loads alone never congest the store,
+/// and a slowly growing window would make waiting calls late.
 const FIRST_GROWTH: f64 = 4.0;
 /// Factor on the shortest time after each load that took too long while the window was one: the store may
 /// have become slower permanently, and counts as twice as slow after two dozen such loads. With a larger
--- a/crates/core/src/direct/loader/lost_orders.rs
+++ b/crates/core/src/direct/loader/lost_orders.rs
@@ -8,8 +8,8 @@
 use crate::{direct::membership::InstanceId, ids::Timestamp};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
-/// Time after which an order without an answer counts as lost. Such orders are carried out some seconds
-/// late; this is several times that, and reserves one slot of an engine for as long.
+/// Time after which an order without an answer is assumed never to be carried out. Such orders are carried out some
+/// seconds late; this is several times that. Until then each may reserve a slot of the engine.
 const LOST_TTL: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -11,12 +11,13 @@
 };
 use std::{cmp::Reverse, sync::Arc, time::Duration};
 
-/// Loads for calls in time after which a late call goes first. Without it late calls starve until their callers
-/// give up: of the calls in the ten seconds after a cold start, 4 more in 100 were not served at all.
+/// Loads for calls that can still meet their objective after which a late call goes first. Without it late calls
+/// starve until their callers give up: of the calls in the ten seconds after a cold start, 4 more in 100 were not
+/// served at all.
 const TIMELY_LOADS: u8 = 3;
 
 impl LoaderMachine {
-    /// Counts a load for a call in time; a load for a late call resets the count.
+    /// Counts a load for a call that can still meet its objective; a load for a late call resets the count.
     pub(super) fn count_timely_load(&mut self, adapter: &AdapterId, now: Timestamp) {
         let load_requests = self.notices.values().flat_map(|state| &state.notice.load_requests);
         let mut own = load_requests
@@ -77,12 +78,12 @@
             let own = load_requests.filter(|request| request.base == *base);
             own.map(|request| u32::from(request.waiting)).sum()
         };
-        // Of equals the first one: `max_by_key` returns the last.
+        // Reversed, as `max_by_key` returns the last of equal elements.
         let best = fitting.rev().max_by_key(|base| waiting(&base.base));
         best.map(|base| Arc::clone(&base.base))
     }
 
-    /// Unmet load requests in the order of their loads: first for calls that can still meet their objective,
+    /// Unfulfilled load requests in the order of their loads: first for calls that can still meet their objective,
     /// then for calls that are late already, then prefetches. While the weight store is overloaded, a load for
     /// a late call makes another call late too; so a late call goes first only after [`TIMELY_LOADS`] others.
     fn sorted_requests(
@@ -100,7 +101,7 @@
         load_requests
     }
 
-    /// Load requests that no adapter held or loading meets, with the time when each was first seen.
+    /// Load requests that no adapter held or loading fulfils, with the time when each was first seen.
     pub(super) fn unfulfilled_requests(
         &self,
         report: &EngineReport,
--- a/crates/core/src/direct/loader/replies.rs
+++ b/crates/core/src/direct/loader/replies.rs
@@ -1,15 +1,14 @@
 //! Which routers are sent a report now.
 //!
-//! A router that requests a report gets it at once. Other routers get one only on two changes that cannot wait
-//! for a request: an adapter that the router's calls wait for is loaded, and the engine has become
-//! unresponsive, drains or has restarted.
+//! A router that requests a report gets it at once. Other routers get one only on two changes that cannot wait for a
+//! request: an adapter that the router's calls wait for has been loaded, or the engine has become unresponsive, begun
+//! to drain, or restarted.
 
 use super::LoaderMachine;
 use crate::{direct::membership::TargetIncarnation, ids::Timestamp};
 use std::{net::SocketAddr, time::Duration};
 
-/// Interval of repeated reports that an adapter is loaded for which the router's calls wait: datagrams may be
-/// lost.
+/// Interval of repeated reports to a router whose calls wait for an adapter that is loaded: datagrams may be lost.
 const AWAITED_PAUSE: Duration = Duration::from_millis(50);
 
 /// The engine's state; every change is reported at once to all routers that sent notices.
@@ -28,7 +27,7 @@
 }
 
 impl LoaderMachine {
-    /// Returns the routers that are due a report, and records them as informed.
+    /// Returns the routers that are due a report, and records the report as sent.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<SocketAddr> {
         let Some(state) = self.engine_state() else { return Vec::new() };
         let has_changes = self.reported_state.as_ref() != Some(&state);
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -104,7 +104,8 @@
     pub zone: ZoneName,
     /// Calls that it runs at once.
     pub slots: u32,
-    /// Grows from target to target: of two entries at one address the later one has the higher number.
+    /// Number that increases with each new target: of two entries at one address, the later one has the higher
+    /// number.
     pub generation: u64,
     /// Whether it is draining and takes no new calls.
     #[serde(rename = "is_leaving")]
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -16,7 +16,7 @@
     Notice(RouterNotice),
     /// The router's heartbeat.
     Presence(RouterPresence),
-    /// Usage of customers' limits at the router.
+    /// The router's report to a meter, with its requests for units of rate limits.
     Usage(UsageReport),
 }
 
@@ -27,7 +27,7 @@
     Report(LoaderReport),
     /// Which routers are alive.
     Directory(RouterDirectory),
-    /// Units of customers' limits granted to the router.
+    /// A meter's grants of units of rate limits to the router.
     Grant(UsageGrant),
     /// Heartbeat of another router, sent to the routers in its settings.
     Presence(RouterPresence),
@@ -80,11 +80,11 @@
 /// A router's state for one loader: all of its load requests and uses there.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterNotice {
-    /// Id of the router's start.
+    /// Identifies one start of the router; a restarted router has another id.
     pub boot: BootId,
-    /// Grows with each notice of this start.
+    /// Increases with each notice that the router sends after this start.
     pub sequence: u32,
-    /// The loader's engine, as the router knows it.
+    /// The incarnation of the loader's engine that the router knows.
     #[serde(rename = "life")]
     pub incarnation: TargetIncarnation,
     /// Adapter slots of an engine of the service.
@@ -107,11 +107,11 @@
 /// A loader's report of its engine to routers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoaderReport {
-    /// Id of the loader's start.
+    /// Identifies one start of the loader; a restarted loader has another id.
     pub boot: BootId,
-    /// Grows with each report of this start.
+    /// Increases with each report that the loader sends after this start.
     pub sequence: u32,
-    /// The engine beside the loader.
+    /// The incarnation of the loader's engine.
     #[serde(rename = "life")]
     pub incarnation: TargetIncarnation,
     /// Whether the engine answers the loader.
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -19,16 +19,17 @@
 /// Pause between notices to a loader at whose engine calls run and nothing changes. The loader drops a router's
 /// state after 2.5 s, and adapters in use by its calls would then be evicted.
 const NOTICE_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between report requests to a loader where calls wait. It reports unasked that an adapter is loaded, but
-/// not how much longer a load will take.
+/// Pause between report requests to a loader where calls wait. The loader reports a completed load without a request,
+/// but not how much longer a load will take.
 const WAIT_PAUSE: Duration = Duration::from_millis(300);
 
 /// The last notice to a loader.
 #[derive(Clone, Copy, Debug)]
 struct SentNotice {
     at: Timestamp,
+    /// When a notice last requested a report; zero if none has.
     requested: Timestamp,
-    /// Whether it held load requests or uses, so that one more notice must follow when they have ended.
+    /// Whether it contained load requests or uses. If so, one more notice must follow when they have ended.
     was_engaged: bool,
 }
 
@@ -60,8 +61,8 @@
             let sent = self.sent.get(&target.entry.incarnation);
             match pause(target, sent, now) {
                 Some(pause) => sent.is_none_or(|sent| now.saturating_sub(sent.at) >= pause),
-                // The loader of an empty engine needs an offer of base models. One router of the fleet
-                // in each round is enough, whatever the size of the fleet.
+                // The loader of an empty engine needs an offer of base models. One offer in each round is enough, so
+                // each router sends one at random: one router of the fleet on average.
                 None => target.is_empty_engine(now) && draw() * (routers as f64) < 1.0,
             }
         });
@@ -92,7 +93,7 @@
         let was_engaged = target.is_engaged();
         let target = pool.target_mut(incarnation)?;
         if is_empty {
-            // Calls wait for its base model only while its loader answers; so request a report.
+            // Calls wait for the base model only while the loader answers, so request a report.
             target.request_report(now);
         }
         self.sent.insert(incarnation.clone(), SentNotice { at: now, requested, was_engaged });
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -13,7 +13,7 @@
 pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
-    /// Id of the call that the target answers, as it states it.
+    /// Id of the call that the answer is for, as the target echoes it.
     pub echoed_id: Option<CallId>,
     /// Whether the target signed it as the outcome of a run.
     pub is_signed: bool,
@@ -30,13 +30,13 @@
 }
 
 impl AnswerHead {
-    /// Whether another target answered than the one that the call was sent to.
+    /// Whether the answer comes from another target than the one that the call was sent to.
     pub fn is_of_other(&self, expected: &TargetIncarnation) -> bool {
         self.instance.as_ref().is_some_and(|instance| *instance != expected.id)
     }
 }
 
-/// Status of a call that reached another target, version or model than it expected.
+/// Status of an answer to a call that reached another target, version or model than the one it requires.
 pub const MISDIRECTED: u16 = 421;
 /// Statuses that guarantee a caller that its call was not run and never will be.
 const NOT_RUN_STATUSES: [u16; 4] = [408, MISDIRECTED, 429, 503];
@@ -46,13 +46,13 @@
 pub enum RunProof {
     /// The call ran and this is its success.
     Succeeded,
-    /// The call ran and failed there; a retry may succeed.
+    /// The call ran and failed at this target; a retry at another may succeed.
     Failed,
     /// The call did not run and will not.
     NotRun,
-    /// The target did not run it because it is another incarnation, or holds another model or version.
+    /// The target did not run the call because it is another incarnation, or holds another model or version.
     Misdirected,
-    /// Nothing is proven: it may have run.
+    /// Nothing is proven: the call may have run.
     Unknown,
 }
 
@@ -99,7 +99,7 @@
     Unknown,
 }
 
-/// Whether a failed run's answer may be passed to the caller.
+/// Decides whether a failed run's answer may be passed to the caller.
 ///
 /// A target's own 503 after it began to run a call would guarantee that the call was not run, and the caller
 /// would send it again.
@@ -127,7 +127,8 @@
     Unknown,
 }
 
-/// The final outcome of a call; `runs` of its sends count as runs.
+/// The final outcome of a call that no target answered: `runs` of its sends count as runs, and `has_time` is false
+/// once its time limit has passed.
 pub fn final_outcome(runs: u32, has_time: bool) -> FinalOutcome {
     match (runs, has_time) {
         (0, _) => FinalOutcome::NotRun,
@@ -136,8 +137,8 @@
     }
 }
 
-/// Whether a call may be sent to another target after `proof`; `runs` counts the targets that ran it or may
-/// have.
+/// Whether a call may be sent to another target after `proof`; `runs` counts the targets that ran it or may have run
+/// it.
 pub fn may_send_again(proof: RunProof, kind: CallKind, runs: u32, max_targets: u32) -> bool {
     match proof {
         RunProof::Succeeded => false,
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -20,21 +20,21 @@
 const ACTIVE_MS: f64 = 1.4;
 /// Mean share of the load time that is left for an adapter that is being loaded already.
 const LOADING_SHARE: f64 = 0.5;
-/// Extra cost of a load at a target that is not preferred, as a multiple of a load from the weight store. The
-/// store transfers the adapter once more, while the preferred target's host may have it in memory, and later
-/// calls to the preferred target do not profit: the load costs the fleet what it costs the call. The factor is
-/// above 1 because the engine also evicts an adapter that is preferred there.
+/// Extra cost of a load at a target that is not preferred, as a multiple of a load from the weight store. The store
+/// transfers the adapter once more, while the preferred target's host may have it in memory, and later calls to the
+/// preferred target do not profit: the fleet loses as much time as the call. The factor is above 1 because the engine
+/// also evicts an adapter that is preferred there.
 const UNPREFERRED_LOAD_FACTOR: f64 = 1.6;
-/// The same at the spare target, the one after the preferred ones. It takes their overflow, and thus later
-/// calls for the adapter too.
+/// The same factor for a load at the spare target, the one after the preferred ones. It takes their overflow, and
+/// thus later calls for the adapter too.
 const SPARE_LOAD_FACTOR: f64 = 1.0;
-/// Advantage that another target needs for a call to move away from the one where it waits for its adapter:
-/// the load there has begun, and a load elsewhere starts from the beginning.
+/// A call that waits for its adapter at one target moves to another only if that costs less by this much: the load
+/// has begun, and a load at another target starts from the beginning.
 const MOVE_MS: f64 = 250.0;
 /// Cost of a target that needs a load and whose loader is silent: no process would order the load.
 const NO_LOADER_MS: f64 = 5_000.0;
-/// Cost of a load at a target that was recently saturated: once the adapter is loaded, the target may still
-/// refuse the call.
+/// Cost of a load at a target that was recently saturated: the target may refuse the call although the adapter is
+/// loaded.
 const SATURATED_LOAD_MS: f64 = 5_000.0;
 /// Cost of a failed call: about the latency objective that it misses.
 const FAILURE_MS: f64 = 1_500.0;
@@ -49,7 +49,7 @@
 /// Calls per second that one copy of an adapter serves before another copy is added.
 const CALLS_PER_COPY: f64 = 10.0;
 
-/// The call that needs a target, and what limits the choice.
+/// What a call needs of a target, and what limits the choice.
 #[derive(Clone, Debug)]
 pub struct CallNeed<'a> {
     /// Service that the call is for.
--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -78,7 +78,8 @@
 pub struct SharedDelta {
     /// Time in ms since the watching router last had an answer from the store.
     pub age_ms: u32,
-    /// Time in ms since that router could read the list of targets again, if it lost the store shortly before.
+    /// Time in ms since the watching router could read the list of targets again, if it lost the store shortly
+    /// before.
     pub regained_ms: Option<u32>,
     /// Changes by kind, in the order of the query.
     pub kinds: Vec<KindDelta>,
@@ -150,8 +151,8 @@
         *self = Self::default();
     }
 
-    /// Whether a router that knows all changes up to `revision` is due an answer: there are newer changes, or
-    /// the log cannot tell.
+    /// Whether a router that knows all changes up to `revision` is due an answer: there are newer changes, or the log
+    /// does not reach back that far.
     pub fn has_changes(&self, revision: u64) -> bool {
         let is_newer = self.rounds.back().is_some_and(|(at, _)| *at > revision);
         !self.is_followed || revision < self.from || is_newer
--- a/crates/core/src/direct/sharing/order.rs
+++ b/crates/core/src/direct/sharing/order.rs
@@ -52,8 +52,8 @@
 
     /// The router from which the one at `own` reads its first state; `None` if it reads the store.
     ///
-    /// Each router decides by the routers that it knows so far, so that more than two read the store:
-    /// about the logarithm of their number.
+    /// A starting router knows only some of the others yet, so more than two read the store: about the logarithm of
+    /// their number.
     pub fn bootstrap_upstream(&self, own: SocketAddr) -> Option<SocketAddr> {
         let is_reader = self.position(own).is_some_and(|position| position < FIRST_READERS);
         if is_reader { None } else { self.upstream(own, |_| true) }
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -4,23 +4,25 @@
 use crate::ids::Timestamp;
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
-/// Denials in a row before an upstream is dropped. With the pause between queries it also keeps a router from
-/// starting a watch just as the store drops its history; such a watch would return nothing until its timeout.
+/// Consecutive denials after which an upstream is dropped. Together with the pause between queries, this keeps a
+/// router from starting a watch just as the store drops its history; such a watch would return nothing until its
+/// timeout.
 const MAX_DENIALS: u32 = 2;
-/// Time for which a dropped upstream is not queried; if it has ended, the directory omits it by then.
+/// Time for which a dropped upstream is not queried; if it has crashed, the directory no longer lists it after that.
 const UPSTREAM_AVOID_TIME: Duration = Duration::from_secs(3);
 /// Age up to which others rely on a watcher without answers from the store, as a share of the time after which
 /// a draining target must get no more calls. The store may become silent to one router and serve the others:
 /// connections stay open, and that router's watches take seconds to time out.
 const WATCHER_FRESH_SHARE: f64 = 0.75;
-/// The same for the state of a relay. It is longer, so that the relays have found another watcher before the
-/// routers behind them query the store. The remaining time is for that query.
+/// The same share for the state of a relay. It is larger, so that the relays find another watcher before the routers
+/// that query them turn to the store. The remaining time is for that query.
 const RELAY_FRESH_SHARE: f64 = 0.85;
-/// The same for the state of a router behind the relays.
+/// The same share for the state of a router that queries a relay.
 const LEAF_FRESH_SHARE: f64 = 0.92;
-/// Share of that time, counted from the first list, after which the router of the highest rank watches.
+/// Share of the drain time after which an undecided router of the highest rank watches the store, counted from its
+/// first list.
 const FIRST_SETTLE_SHARE: f64 = 0.15;
-/// The same for a router of a lower rank, or one that knows no other routers.
+/// The same share for a router of a lower rank, or one that knows no other routers.
 const SETTLE_SHARE: f64 = 0.5;
 
 /// Where a router receives changes of the store.
@@ -76,9 +78,9 @@
 pub struct SourceMachine {
     own: SocketAddr,
     source: StoreSource,
-    /// Routers that are not queried, and until when.
+    /// Dropped upstreams, and until when each is not queried.
     avoided: HashMap<SocketAddr, Timestamp>,
-    /// Denials in a row.
+    /// Consecutive denials.
     denials: u32,
     /// When the first list had been read.
     listed_at: Option<Timestamp>,
@@ -151,13 +153,13 @@
         match (self.source, self.listed_at) {
             (StoreSource::Router, _) if is_first => Some("this router is at the head of the line"),
             (StoreSource::Router, _) if is_past(view.synced_at, own_share) => {
-                Some("no other router has told enough")
+                Some("no other router has sent recent enough state")
             }
             (StoreSource::Undecided, Some(at)) if is_first && is_past(at, FIRST_SETTLE_SHARE) => {
                 Some("this router is at the head of the line")
             }
             (StoreSource::Undecided, Some(at)) if is_past(at, SETTLE_SHARE) => {
-                Some("no other router has told")
+                Some("no other router has sent state")
             }
             _ => None,
         }
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -16,7 +16,7 @@
 /// Hash of a list of targets; independent of their order.
 pub type ListHash = u64;
 
-/// One router's answer to another that queries a snapshot.
+/// A router's answer to another router that queries a snapshot.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct PeerSnapshot {
     /// Whether the answering router follows the platform without gaps.
@@ -29,7 +29,7 @@
     pub releases: Vec<(Arc<str>, Arc<str>, AdapterVersion)>,
     /// Routers' reports of crashes.
     pub crashes: Vec<Arc<CrashReport>>,
-    /// Revision up to which the answering router knows each kind of object; `None` for one that it has not read.
+    /// Revision up to which the answering router knows each kind of object; `None` for a kind that it has not read.
     pub revisions: Vec<Option<u64>>,
 }
 
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -25,7 +25,7 @@
 /// Time after which another report is requested of a silent loader.
 const REPORT_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time after the end of its saturation for which adapters are kept away from a target.
+/// Time after the end of a target's saturation during which adapters are loaded at other targets instead.
 const SATURATION_TTL: Duration = Duration::from_secs(10);
 
 /// The last report of a target's loader.
@@ -91,7 +91,7 @@
     pub loader: Option<LoaderView>,
     /// When the pending report of its loader was requested.
     pub(super) report_requested: Option<Timestamp>,
-    /// Time of the report request whose lack of an answer was noted.
+    /// Time of the last report request that was noted as unanswered.
     pub(super) noted_silence: Option<Timestamp>,
     /// Whether another incarnation answered at its address, so that this one has ended.
     pub(super) is_displaced: bool,
@@ -241,7 +241,7 @@
         self.limit.rate.is_some()
     }
 
-    /// Whether its limit refused a call recently, so that adapters should be loaded elsewhere.
+    /// Whether its limit was used up within the last `SATURATION_TTL`, so that adapters should be loaded elsewhere.
     pub fn was_recently_saturated(&self, now: Timestamp) -> bool {
         self.is_limited()
             && !self.saturated_until.is_zero()
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -1,7 +1,8 @@
 //! Rate limits that targets advertise in their answers: requests a second, from all routers together.
 //!
 //! Meters enforce them like customers' limits. Routers and loaders exchange what targets have advertised, so that a
-//! router knows a limit before its first request there, and its end without another request.
+//! router knows a limit before its first request to the target, and learns of the limit's end without sending a
+//! request itself.
 
 use super::limits::{
     LimitTag,
@@ -20,7 +21,7 @@
 /// Lowest rate of requests to a limited target, also where it advertises a lower one: only its answers show when
 /// the limit ends.
 const PROBE_RATE: RequestRate = 0.1;
-/// Time for which the end of a limit is sent to others.
+/// Time for which the end of a limit is sent to other processes.
 const END_TTL: Duration = Duration::from_mins(1);
 /// Time after which a loader no longer passes on a limit that routers have stopped sending.
 const UPDATE_TTL: Duration = Duration::from_mins(1);
@@ -99,14 +100,14 @@
         std::mem::replace(&mut self.rate, other.rate) != other.rate
     }
 
-    /// Whether updates of it are sent to others: there is a limit, or one has ended lately.
+    /// Whether updates of it are sent to other processes: there is a limit, or one ended less than `END_TTL` ago.
     pub fn is_reported(&self, now: Timestamp) -> bool {
         let is_recent = |ended: Timestamp| now.saturating_sub(ended) < END_TTL;
         self.rate.is_some() || self.ended.is_some_and(is_recent)
     }
 }
 
-/// What one process knows about a target's limit, as sent to another.
+/// A target's limit as one process reports it to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitUpdate {
     /// Stable hash of the target's incarnation.
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -94,12 +94,12 @@
         self.releases.iter().map(|(adapter, version)| (adapter, *version))
     }
 
-    /// The store of the list cannot be reached; the last list stays in use.
+    /// Records that the store of the list cannot be reached; the last list stays in use.
     pub fn note_outage(&mut self) {
         self.list.note_outage();
     }
 
-    /// The store of the list answers again.
+    /// Records that the store of the list answers again.
     pub fn note_contact(&mut self, now: Timestamp) {
         self.list.note_contact(now);
     }
@@ -138,7 +138,8 @@
             .filter(|target| target.entry.incarnation.may_equal(incarnation))
     }
 
-    /// The same, for changes. Calls to an earlier incarnation may end after it, and must not count for the next one.
+    /// Mutable form of [`Self::target`]. Calls to an earlier incarnation may end after it, and must not count for the
+    /// next one.
     pub fn target_mut(&mut self, incarnation: &TargetIncarnation) -> Option<&mut TargetState> {
         self.targets
             .get_mut(&incarnation.id)
@@ -256,7 +257,7 @@
         &self.demand
     }
 
-    /// A call is sent to a target; returns whether it is this router's only one there for its adapter.
+    /// Records that a call is sent to a target; returns whether it is this router's only call for its adapter there.
     pub fn call_started(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -274,27 +275,27 @@
         counts.running == 1
     }
 
-    /// The first byte of a call's answer has arrived, so its prompt is prefilled.
+    /// Records that the first byte of a call's answer arrived, so that its prompt is prefilled.
     pub fn call_answered(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
         let Some(target) = self.target_mut(incarnation) else { return };
         target.prefill_tokens = target.prefill_tokens.saturating_sub(tokens);
     }
 
-    /// A call ended; `tokens` are those of its prompt if no first byte arrived, else 0.
+    /// Records that a call ended; `tokens` is the length of its prompt if no first byte arrived, else 0.
     pub fn call_ended(&mut self, incarnation: &TargetIncarnation, tokens: u32) {
         let Some(target) = self.target_mut(incarnation) else { return };
         target.in_flight = target.in_flight.saturating_sub(1);
         target.prefill_tokens = target.prefill_tokens.saturating_sub(tokens);
     }
 
-    /// A call's answer ended `time` after the call was sent.
+    /// Records that a call's answer ended `time` after the call was sent.
     pub fn run_ended(&mut self, incarnation: &TargetIncarnation, time: Duration) {
         if self.target(incarnation).is_some_and(|target| self.engine_of(target).is_some()) {
             self.wait_estimates.record_run(time);
         }
     }
 
-    /// A call no longer uses its adapter; returns whether no other call of this router uses it there.
+    /// Records that a call no longer uses its adapter; returns whether no other call of this router uses it there.
     pub fn use_ended(&mut self, incarnation: &TargetIncarnation, adapter: &AdapterId) -> bool {
         let counts = self.target_mut(incarnation).and_then(|target| target.uses.get_mut(adapter));
         let Some(counts) = counts else { return false };
@@ -302,7 +303,7 @@
         counts.running == 0
     }
 
-    /// Another incarnation answered at the address of this one, which has therefore ended.
+    /// Records that another incarnation answered at the address of this one, which has therefore ended.
     pub fn note_displaced(&mut self, incarnation: &TargetIncarnation) {
         if let Some(target) = self.target_mut(incarnation) {
             target.is_displaced = true;
--- a/crates/core/src/direct/targets/limits.rs
+++ b/crates/core/src/direct/targets/limits.rs
@@ -12,8 +12,8 @@
 use std::{collections::HashMap, time::Duration};
 
 impl TargetPool {
-    /// Records the limit that an answer advertises, to a call that was sent at `sent`; returns whether the target's limit
-    /// has changed.
+    /// Records the limit that the answer to a call sent at `sent` advertises; returns whether the target's limit has
+    /// changed.
     pub fn record_limit(
         &mut self,
         incarnation: &TargetIncarnation,
@@ -59,12 +59,12 @@
         limit_updates(listed.chain(departed), now)
     }
 
-    /// Whether any listed target has a limit, or had one whose end is still sent to others.
+    /// Whether any listed target has a limit, or had one whose end is still sent to other processes.
     pub fn has_limit_updates(&self, now: Timestamp) -> bool {
         self.targets.values().any(|target| target.limit.is_reported(now))
     }
 
-    /// Records that a target's limit is used up until then.
+    /// Records that a target's limit is used up until `until`.
     pub fn record_saturation(&mut self, incarnation: &TargetIncarnation, until: Timestamp) {
         if let Some(target) = self.target_mut(incarnation) {
             target.saturated_until = until;
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -18,8 +18,8 @@
 /// Weight of a new run in the mean: a router completes some ten a second, long and short ones.
 const RUN_WEIGHT: f64 = 0.05;
 /// Wait in ms for each load in the queue for an adapter slot, at an engine whose loaded adapters are all in use. Runs
-/// last 0.4 s on average, and of ten adapters in use some two are used by several calls, so that a slot
-/// becomes free about this often.
+/// last 0.4 s on average, and about two of ten adapters in use are used by several calls, so that a slot becomes free
+/// about this often.
 const SLOT_MS: f64 = 60.0;
 
 /// Means over the reports of all loaders and this router's runs at all engines, in milliseconds.
