--- a/crates/core/tests/core/direct/backlog.rs
+++ b/crates/core/tests/core/direct/backlog.rs
@@ -11,7 +11,7 @@
 
 /// Prompts are prefilled in order of arrival; guards against a backlog that falls at the wrong rate, or below zero.
 #[test]
-fn prompts_are_read_in_time() {
+fn prompts_are_prefilled_in_order() {
     let mut backlog = PrefillBacklog::default();
     backlog.add(3_800, ms(1_000));
     assert_eq!(backlog.read(ms(1_000)), 3_800);
@@ -19,7 +19,7 @@
     backlog.add(1_900, ms(1_050));
     assert_eq!(backlog.read(ms(1_050)), 3_800);
     assert_eq!(backlog.read(ms(1_100)), 1_900);
-    assert_eq!(backlog.read(ms(5_000)), 0, "an engine does not read ahead");
+    assert_eq!(backlog.read(ms(5_000)), 0, "an idle engine prefills nothing in advance");
     backlog.add(380, ms(5_000));
     assert_eq!(backlog.read(ms(5_000)), 380);
 }
@@ -55,10 +55,10 @@
     }
 }
 
-/// A report states the tokens that were pending when it was made; guards against counting them a second later, when
-/// they are prefilled.
+/// Guards against tokens of an old report that still count after the engine has prefilled them: a report states the
+/// tokens that were pending when it was made.
 #[test]
-fn what_was_reported_is_prefilled_meanwhile() {
+fn reported_tokens_decrease_until_the_next_report() {
     let mut pool = TargetPool::new();
     pool.take_config(Arc::new(config(1, Vec::new())));
     pool.replace_list(vec![Arc::new(target("e1", ENGINES, "a", 1))], ms(0));
--- a/crates/core/tests/core/direct/config.rs
+++ b/crates/core/tests/core/direct/config.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn longest_prefix_of_the_host_takes_the_call() {
+fn the_longest_prefix_of_the_host_matches() {
     let routes = vec![
         route("/a/", CallKind::Idempotent, &[(DESK, 1)]),
         route("/a/b/", CallKind::Idempotent, &[(DESK, 1)]),
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -58,7 +58,7 @@
     pub is_run: bool,
 }
 
-/// Most units that ran in any window.
+/// Maximum of units that ran in any window.
 pub fn worst_window(records: &[RunRecord], window: Duration) -> f64 {
     let mut runs: Vec<&RunRecord> = records.iter().filter(|record| record.is_run).collect();
     runs.sort_unstable_by_key(|record| record.at);
@@ -74,7 +74,7 @@
     worst
 }
 
-/// Most units that may run in a window.
+/// Maximum of units that may run in a window.
 pub fn max_units(limit: &UsageLimit, terms: &LimitTerms) -> f64 {
     limit.total(terms.window) * (1.0 + terms.overage) + terms.slack
 }
@@ -109,7 +109,7 @@
     /// Part of the datagrams that are lost.
     pub loss: f64,
     /// Whether a router and a meter do not reach each other.
-    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub is_partitioned: Box<dyn Fn(usize, usize) -> bool>,
     /// Meters and routers that are frozen, with the end in ms.
     pub frozen_meters: HashMap<usize, u64>,
     pub frozen_routers: HashMap<usize, u64>,
@@ -147,7 +147,7 @@
             sent: 0,
             bytes: 0,
             loss: 0.0,
-            is_cut: Box::new(|_, _| false),
+            is_partitioned: Box::new(|_, _| false),
             frozen_meters: HashMap::new(),
             frozen_routers: HashMap::new(),
             terms: rule.terms,
@@ -244,12 +244,12 @@
             }
             4 => {
                 let (zones, phase) = (rng.random_range(2..4), rng.random_range(0..3));
-                self.is_cut =
+                self.is_partitioned =
                     Box::new(move |router, meter| router % zones != (meter + phase) % zones);
                 Some(format!("{at}: {zones} zones are partitioned"))
             }
             5 => {
-                self.is_cut = Box::new(|_, _| false);
+                self.is_partitioned = Box::new(|_, _| false);
                 Some(format!("{at}: partitions end"))
             }
             _ => None,
@@ -367,7 +367,7 @@
     fn send(&mut self, router: usize, meter: usize, bytes: usize, datagram: Datagram) {
         self.sent += 1;
         self.bytes += bytes as u64;
-        if (self.is_cut)(router, meter) || self.rng.random_bool(self.loss) {
+        if (self.is_partitioned)(router, meter) || self.rng.random_bool(self.loss) {
             return;
         }
         let delay = self.rng.random_range(1..4);
@@ -390,7 +390,7 @@
     QuickCheck::new().rng(random).tests(plays).max_tests(plays).quickcheck(simulate);
 }
 
-/// A router that is not frozen: the picked one, or else the first such one.
+/// The picked router, or the first one that is not frozen if the picked one is.
 pub fn unfrozen_router(
     frozen: &HashMap<usize, u64>,
     picked: usize,
--- a/crates/core/tests/core/direct/customers/limits.rs
+++ b/crates/core/tests/core/direct/customers/limits.rs
@@ -185,7 +185,7 @@
     assert!(refused < 0.05, "{refused:.3} refused under the raised limit");
 }
 
-/// Guards against routers that learn of no others from loaders, and each use the whole limit as their share.
+/// Guards against routers that use the full limit each, because loaders have listed no other routers to them.
 #[test]
 fn routers_that_do_not_know_each_other_keep_a_limit() {
     let limit = UsageLimit { unit: UsageUnit::Calls, rate: 4.0, burst: 4.0 };
--- a/crates/core/tests/core/direct/customers/ways.rs
+++ b/crates/core/tests/core/direct/customers/ways.rs
@@ -1,4 +1,4 @@
-//! Comparison of three ways to enforce one limit at many routers, under the same loads.
+//! Comparison of three strategies to enforce one limit at many routers, under the same loads.
 //!
 //! `cargo test --release -p plantain-core --test core ways -- --nocapture` prints the table of
 //! docs/design/customers.md.
@@ -23,8 +23,8 @@
 /// Lowest and highest cost of a call.
 const COSTS: (u32, u32) = (200, 1_500);
 
-/// A way to enforce a limit at many routers.
-trait LimitWay {
+/// A strategy to enforce a limit at many routers.
+trait LimitStrategy {
     /// Advances the time by 1 ms.
     fn advance(&mut self);
     /// A call arrives at a router.
@@ -38,7 +38,7 @@
 /// Slices that meters grant.
 struct MeterWay(LimitFleet);
 
-impl LimitWay for MeterWay {
+impl LimitStrategy for MeterWay {
     fn advance(&mut self) {
         self.0.advance(1);
     }
@@ -57,21 +57,21 @@
 }
 
 /// An even share of the limit and its tolerance for each router.
-struct EvenWay {
+struct EvenStrategy {
     now_ms: u64,
     limit: UsageLimit,
     buckets: Vec<TokenBucket>,
     records: Vec<RunRecord>,
 }
 
-impl EvenWay {
+impl EvenStrategy {
     fn new(routers: usize, limit: UsageLimit) -> Self {
         let bucket = TokenBucket::new(f64::MAX, ms(0));
         Self { now_ms: 0, limit, buckets: vec![bucket; routers], records: Vec::new() }
     }
 }
 
-impl LimitWay for EvenWay {
+impl LimitStrategy for EvenStrategy {
     fn advance(&mut self) {
         self.now_ms += 1;
     }
@@ -113,7 +113,7 @@
 }
 
 /// Slices leased by conditional writes to one object of the store.
-struct LeaseWay {
+struct LeaseStrategy {
     now_ms: u64,
     limit: UsageLimit,
     bucket: TokenBucket,
@@ -123,7 +123,7 @@
     records: Vec<RunRecord>,
 }
 
-impl LeaseWay {
+impl LeaseStrategy {
     fn new(routers: usize, limit: UsageLimit) -> Self {
         let routers = (0..routers).map(|_| LeaseRouter::default()).collect();
         let bucket = TokenBucket::new(limit.burst, ms(0));
@@ -155,7 +155,7 @@
     }
 }
 
-impl LimitWay for LeaseWay {
+impl LimitStrategy for LeaseStrategy {
     fn advance(&mut self) {
         self.now_ms += 1;
         for index in 0..self.routers.len() {
@@ -229,8 +229,8 @@
     },
 ];
 
-/// Results of one way under one load.
-struct WayFigures {
+/// Results of one strategy under one load.
+struct StrategyStats {
     refused: f64,
     worst: f64,
     datagrams: f64,
@@ -238,7 +238,7 @@
     store_calls: f64,
 }
 
-fn measure(way: &mut impl LimitWay, case: &LoadCase, routers: usize) -> WayFigures {
+fn measure(strategy: &mut impl LimitStrategy, case: &LoadCase, routers: usize) -> StrategyStats {
     let mut rng = StdRng::seed_from_u64(9);
     let calls_per_ms = RATE * case.share / f64::from(COSTS.0 + COSTS.1) * 2.0 / 1_000.0;
     for at in 0..SECONDS * 1_000 {
@@ -246,33 +246,33 @@
         while expected > 0.0 {
             if rng.random_bool(expected.min(1.0)) {
                 let router = (case.pick)(&mut rng, at, routers);
-                way.call(router, rng.random_range(COSTS.0..=COSTS.1));
+                strategy.call(router, rng.random_range(COSTS.0..=COSTS.1));
             }
             expected -= 1.0;
         }
-        way.advance();
+        strategy.advance();
     }
     let limit = limit(RATE, RATE);
-    let (datagrams, bytes, store_calls) = way.traffic();
+    let (datagrams, bytes, store_calls) = strategy.traffic();
     let per_second = |count: u64| count as f64 / SECONDS as f64;
-    WayFigures {
-        refused: refused_share(way.records(), ms(0)),
-        worst: worst_window(way.records(), TERMS.window) / max_units(&limit, &TERMS),
+    StrategyStats {
+        refused: refused_share(strategy.records(), ms(0)),
+        worst: worst_window(strategy.records(), TERMS.window) / max_units(&limit, &TERMS),
         datagrams: per_second(datagrams),
         bytes: per_second(bytes),
         store_calls: per_second(store_calls),
     }
 }
 
-fn print(way: &str, routers: usize, case: &LoadCase, figures: &WayFigures) {
+fn print(strategy: &str, routers: usize, case: &LoadCase, stats: &StrategyStats) {
     println!(
-        "| {way} | {routers} | {} | {:.1} | {:.2} | {:.0} | {:.1} | {:.1} |",
+        "| {strategy} | {routers} | {} | {:.1} | {:.2} | {:.0} | {:.1} | {:.1} |",
         case.name,
-        figures.refused * 100.0,
-        figures.worst,
-        figures.datagrams,
-        figures.bytes / 1_000.0,
-        figures.store_calls
+        stats.refused * 100.0,
+        stats.worst,
+        stats.datagrams,
+        stats.bytes / 1_000.0,
+        stats.store_calls
     );
 }
 
@@ -288,14 +288,14 @@
     for routers in [21, 330] {
         for case in &LOADS {
             let limit = limit(RATE, RATE);
-            let even = measure(&mut EvenWay::new(routers, limit), case, routers);
-            let lease = measure(&mut LeaseWay::new(routers, limit), case, routers);
+            let even = measure(&mut EvenStrategy::new(routers, limit), case, routers);
+            let lease = measure(&mut LeaseStrategy::new(routers, limit), case, routers);
             let mut fleet = LimitFleet::new(routers, 6, limit, 9);
             (fleet.sent, fleet.bytes) = (0, 0);
             let meter = measure(&mut MeterWay(fleet), case, routers);
-            for (name, figures) in [("even share", &even), ("leases", &lease), ("meters", &meter)] {
-                print(name, routers, case, figures);
-                assert!(figures.worst <= 1.0, "{name}, {}: {:.2}", case.name, figures.worst);
+            for (name, stats) in [("even share", &even), ("leases", &lease), ("meters", &meter)] {
+                print(name, routers, case, stats);
+                assert!(stats.worst <= 1.0, "{name}, {}: {:.2}", case.name, stats.worst);
             }
             if case.share < 1.0 {
                 assert!(meter.refused < 0.01, "{}: {:.4} refused", case.name, meter.refused);
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -110,7 +110,7 @@
 
 /// Three of a zone's twelve routers crash at once. The others must not count them forever.
 #[test]
-fn routers_that_died_are_not_counted_for_long() {
+fn crashed_routers_are_not_counted_for_long() {
     let mut registry = PresenceRegistry::default();
     let mut peer_table = RouterTable::default();
     let zone: ZoneName = "a".into();
@@ -129,8 +129,8 @@
     }
 }
 
-/// Routers of other zones send their presence only to query a number. Counted here, each would count several
-/// times.
+/// Routers of other zones send their presence to a loader only to query the number of its zone's routers. If the
+/// loader counted them too, each router would count several times.
 #[test]
 fn a_zone_is_counted_where_its_routers_register() {
     let mut registry = PresenceRegistry::default();
--- a/crates/core/tests/core/direct/fleet.rs
+++ b/crates/core/tests/core/direct/fleet.rs
@@ -20,7 +20,7 @@
     bytes.iter().sum::<usize>() / bytes.len().max(1)
 }
 
-/// Simulates two seconds to settle and three that are counted.
+/// Simulates two seconds in which the fleet settles, and three more in which traffic and calls are counted.
 fn settled(plan: FleetPlan) -> FleetCounts {
     let mut fleet = Fleet::new(plan);
     fleet.simulate(2 * SECOND);
@@ -40,13 +40,14 @@
     assert!(router.1 * 10 < router.0 * 12, "bytes of a router in three seconds: {router:?}");
     let loader = (mean(&small.bytes_of_loaders), mean(&large.bytes_of_loaders));
     assert!(loader.1 * 10 < loader.0 * 12, "bytes of a loader in three seconds: {loader:?}");
-    // A loader at which the routers of a zone register: 30 here, ten in the small fleet.
+    // The busiest loader is one at which the routers of a zone register: 30 here, ten in the small fleet.
     let busiest = (most(&small.bytes_of_loaders), most(&large.bytes_of_loaders));
     assert!(busiest.1 < 3 * 19_000, "busiest loader, three seconds: {busiest:?}");
 }
 
-/// A router has an engine's state only while it has calls there, so it requests a report before it sends. That
-/// must delay a call by only a few milliseconds, and hardly ever send it to an engine that evicted its adapter.
+/// A router has an engine's state only while it has calls there, so it requests a report before it sends. This must
+/// delay a call by only a few milliseconds, and calls must hardly ever reach an engine that has evicted their
+/// adapter.
 #[test]
 fn report_requests_find_adapters_and_cost_little_time() {
     let counts = settled(plan(40, 40, 2));
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -26,7 +26,7 @@
 };
 
 const ZONES: usize = 5;
-/// Time for which a call runs once it has been sent, in milliseconds.
+/// Run time of a call, in milliseconds.
 const RUN_MS: u64 = 400;
 /// Pause between steps of a process, in milliseconds.
 const STEP_MS: u64 = 10;
--- a/crates/core/tests/core/direct/health.rs
+++ b/crates/core/tests/core/direct/health.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn history_decides_how_a_target_is_seen() {
+fn outcomes_determine_failure_share_and_backoff() {
     use CallOutcome::{Answered, Failed, Silent};
     let cases = [
         HistoryCase {
@@ -23,7 +23,7 @@
             failure_share: 0.0..0.001,
         },
         HistoryCase {
-            name: "one failure is weak evidence",
+            name: "a single failure weighs little",
             outcomes: &[(0, Failed)],
             at: 0,
             is_backing_off: false,
--- a/crates/core/tests/core/direct/load_shedding.rs
+++ b/crates/core/tests/core/direct/load_shedding.rs
@@ -102,7 +102,7 @@
 }
 
 /// All targets of a service take five times as long as usual, and two thirds of their slots are free.
-/// Refusing calls would not help; at the same latency with all slots taken it does.
+/// Refusing calls would not help; it does at the same latency with all slots taken.
 #[test]
 fn slow_targets_with_free_slots_cause_no_shedding() {
     const ROUTERS: usize = 4;
--- a/crates/core/tests/core/direct/loader.rs
+++ b/crates/core/tests/core/direct/loader.rs
@@ -1,7 +1,7 @@
 //! The loader's orders, against an engine whose answers get lost and that carries orders out late.
 
 mod incarnations;
-mod turns;
+mod priority;
 
 use super::support::{BASE, adapter, holding, ms};
 use plantain_core::direct::{
@@ -130,7 +130,7 @@
             verb: Some(OrderVerb::UnloadAdapter(adapter("c"))),
         },
         OrderCase {
-            name: "one not running but just used stays",
+            name: "an adapter that is not running but was just used stays",
             held: full,
             notice: notice(
                 1,
@@ -169,8 +169,8 @@
     }
 }
 
-/// Every adapter of an engine is in use all the time, and a call for another one waits: it would wait until
-/// its deadline. After a while the least used adapter must be evicted.
+/// Every adapter of an engine is in use all the time, so that a call for another one would wait until its deadline.
+/// After a while the least used adapter must be evicted.
 #[test]
 fn a_call_that_waits_long_gets_a_slot() {
     let mut machine = machine(7, &[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
@@ -187,9 +187,8 @@
     assert_eq!(verb, Some(OrderVerb::UnloadAdapter(adapter("b"))));
 }
 
-/// A call waits for an adapter at a full engine. The adapter is loaded, but its first use is reported only
-/// half a second later, and the next load request would evict it again: two adapters would thrash while the
-/// caller waits.
+/// A call waits for an adapter at a full engine. The adapter is loaded, but its first use is reported only half a
+/// second later. If the next load request evicted it before that, two adapters would thrash while the caller waits.
 #[test]
 fn a_new_adapter_is_not_evicted_first() {
     let mut machine = machine(7, &[("a", 1), ("b", 1), ("c", 1)]);
@@ -209,7 +208,7 @@
 /// A call's adapter was loaded and evicted again before the router's next notice, so its last notice still
 /// requests it. Loading it once more would evict an adapter in demand for a call that was served already.
 #[test]
-fn a_load_request_that_was_met_causes_no_second_load() {
+fn a_fulfilled_load_request_causes_no_second_load() {
     let mut machine = machine(7, &[("a", 1)]);
     machine.take_notice(router(1), notice(1, vec![request("z", 1)], vec![]), ms(0));
     machine.take_report(report(8, &[("a", 1), ("z", 1)]), ms(40));
@@ -243,9 +242,9 @@
 }
 
 /// All slots of an engine are taken by adapters in use. A load there waits until runs end, while another
-/// engine has free slots: the report must tell routers so before they choose a target.
+/// engine has free slots: routers must learn this from the report before they choose a target.
 #[test]
-fn reports_state_how_many_loads_need_not_wait() {
+fn reports_state_how_many_loads_can_begin_without_waiting() {
     let full = &[("a", 1), ("b", 1), ("c", 1), ("d", 1)];
     let all_used = || ["a", "b", "c", "d"].map(|name| running(name, 1)).to_vec();
     let cases = [
--- a/crates/core/tests/core/direct/notices.rs
+++ b/crates/core/tests/core/direct/notices.rs
@@ -1,4 +1,4 @@
-//! When a router sends notices to which loaders.
+//! The schedule of a router's notices to loaders.
 
 use super::support::{adapter, ms, pool, report, target};
 use plantain_core::direct::{
--- a/crates/core/tests/core/direct/proof.rs
+++ b/crates/core/tests/core/direct/proof.rs
@@ -1,4 +1,4 @@
-//! What answers prove.
+//! What a target's answer, or its absence, proves about the run of a call.
 
 use plantain_core::direct::{
     config::CallKind,
@@ -41,7 +41,7 @@
             proof: RunProof::Unknown,
         },
         AnswerCase {
-            name: "an earlier call's refusal proves nothing of this one",
+            name: "an earlier call's refusal proves nothing about this one",
             status: 503,
             echoed: Some("c0"),
             signed: false,
@@ -81,7 +81,7 @@
             proof: RunProof::NotRun,
         },
         AnswerCase {
-            name: "a 503 that does not say so has run",
+            name: "a 503 that does not declare that the call was not run",
             status: 503,
             echoed: Some("c1"),
             signed: true,
@@ -97,7 +97,7 @@
             proof: RunProof::Misdirected,
         },
         AnswerCase {
-            name: "its own time limit has run",
+            name: "the target's own time limit has passed",
             status: 504,
             echoed: Some("c1"),
             signed: false,
@@ -223,8 +223,8 @@
     reply: FailureReply,
 }
 
-/// A target ran a call, failed, and answered 503. Passed to the caller, this would guarantee that the call did
-/// not run, and the caller would send it again.
+/// A target ran a call, failed, and answered 503. If the router passed the 503 on, it would guarantee the caller that
+/// the call did not run, and the caller would send it again.
 #[test]
 fn a_failed_run_never_guarantees_that_it_did_not_run() {
     let cases = [
@@ -241,20 +241,21 @@
     }
 }
 
-/// What a target does with a call, and what the router receives.
+/// What a simulated target does with a call, and what the router receives.
 #[derive(Clone, Copy, Debug)]
 enum TargetBehaviour {
-    /// It cannot be reached.
+    /// The target cannot be reached.
     Unreached,
-    /// It refuses the call and declares that: full, draining, or limited.
+    /// The target is full, draining, or limited, and declares that it did not run the call.
     Refuses { status: u16 },
     /// Another incarnation answers at the address.
     IsAnother,
-    /// It runs the call and answers.
+    /// The target runs the call and answers.
     Runs { status: u16, is_signed: bool },
-    /// It runs the call, at once or late, and no answer arrives: lost, reset, or frozen.
+    /// The target runs the call, at once or late, but no answer arrives: the answer is lost, the connection reset, or
+    /// the target frozen.
     RunsUnanswered,
-    /// It runs the call, but answers an earlier one in its place.
+    /// The target runs the call, but answers an earlier one in its place.
     AnswersAnother { declares_not_run: bool },
 }
 
@@ -282,7 +283,7 @@
         matches!(self, Self::Runs { .. } | Self::RunsUnanswered | Self::AnswersAnother { .. })
     }
 
-    /// What the router concludes from it.
+    /// What the router concludes from this behaviour.
     fn proof(self) -> RunProof {
         let head = |status, echoed: &str, is_signed, declares_not_run| AnswerHead {
             status,
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -97,7 +97,7 @@
 /// Every adapter at the preferred engine is in use, and calls already wait there for slots. One more call
 /// would wait for runs to end, up to 1.5 s; the next engine in the order has free slots.
 #[test]
-fn a_load_goes_where_it_need_not_wait_for_a_slot() {
+fn a_load_goes_to_an_engine_with_a_free_slot() {
     let mut pool = pool();
     for id in ["e1", "e2", "e3"] {
         take_report(&mut pool, report(id, 1, &[]), ms(0));
@@ -168,7 +168,7 @@
 /// An engine crashed and restarted at its address, and the list still shows the earlier incarnation. The
 /// loader reports the new one, so no call may be sent to the old one, which would be refused.
 #[test]
-fn a_loader_that_names_another_incarnation_ends_the_old_one() {
+fn a_report_of_another_incarnation_ends_the_old_one() {
     let mut pool = pool();
     let host = pool.target(&"e2".into()).expect("a target").entry.address.ip();
     pool.take_report(host, report("e9", 1, &[]), ms(0));
@@ -211,7 +211,7 @@
 /// The list lags: it shows an engine's earlier incarnation after the loader has reported the next one under
 /// the same id. Calls for adapters of the earlier incarnation would all be refused.
 #[test]
-fn a_loader_that_names_a_later_incarnation_under_the_same_id_ends_the_old_one() {
+fn a_report_of_a_later_incarnation_under_the_same_id_ends_the_old_one() {
     let mut pool = pool();
     pool.replace_list(vec![listed_incarnation("e2", 1_000)], ms(0));
     let host = listed_incarnation("e2", 1_000).address.ip();
@@ -296,7 +296,7 @@
 
 /// A target answers that it is another incarnation than the one addressed.
 #[test]
-fn a_displaced_target_gets_nothing() {
+fn a_displaced_target_gets_no_calls() {
     let mut pool = pool();
     pool.note_displaced(&"d1".into());
     assert_eq!(sent_to(&choose(&pool, DESK, None, 0)), Some("d2"));
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn unusable_targets_get_nothing() {
+fn unusable_targets_get_no_calls() {
     let cases = [
         UnusableCase {
             name: "draining by the list",
@@ -365,7 +365,7 @@
 
 /// A router reads an old configuration from a peer that lags; it must keep the newer one that it has.
 #[test]
-fn configurations_never_go_back() {
+fn older_configurations_are_dropped() {
     let mut pool = pool();
     assert!(pool.take_config(Arc::new(config(9, Vec::new()))));
     assert!(!pool.take_config(Arc::new(config(4, Vec::new()))));
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn demand_makes_copies() {
+fn adapters_in_demand_get_more_copies() {
     let mut pool = pool();
     let (service, zone) = (ENGINES.into(), "a".into());
     let call = model_call(Some("h7"));
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -13,7 +13,7 @@
     targets::TargetPool,
 };
 
-/// The engine that the choice has load the call's adapter.
+/// The engine at which the router has the call's adapter loaded.
 fn loaded_at(pool: &TargetPool, call: &ModelCall) -> TargetIncarnation {
     match choose(pool, ENGINES, Some(call), 10) {
         TargetChoice::Load(incarnation, _, _) => incarnation,
@@ -21,12 +21,12 @@
     }
 }
 
-/// Loads from the weight store take three times as long while it is overloaded, and a load at an engine that
-/// is not preferred transfers an adapter twice. So the longer loads take, the longer a
-/// call must wait at its preferred engine rather than go to another one.
+/// Loads from the weight store take three times as long while it is overloaded, and a load at an engine that is not
+/// preferred transfers an adapter twice. So the longer loads take, the longer a call must wait at its preferred
+/// engine before it goes to another one.
 #[test]
-fn strays_cost_more_while_loads_are_slow() {
-    struct StrayCase {
+fn loads_at_other_engines_cost_more_while_loads_are_slow() {
+    struct MoveCase {
         name: &'static str,
         load_ms: u16,
         /// Wait at the preferred engine.
@@ -34,10 +34,10 @@
         stays: bool,
     }
     let cases = [
-        StrayCase { name: "fast, short wait", load_ms: 100, queue_ms: 80, stays: true },
-        StrayCase { name: "fast, long wait", load_ms: 100, queue_ms: 300, stays: false },
-        StrayCase { name: "slow, the same wait", load_ms: 400, queue_ms: 300, stays: true },
-        StrayCase { name: "slow, longer wait", load_ms: 400, queue_ms: 900, stays: false },
+        MoveCase { name: "fast, short wait", load_ms: 100, queue_ms: 80, stays: true },
+        MoveCase { name: "fast, long wait", load_ms: 100, queue_ms: 300, stays: false },
+        MoveCase { name: "slow, the same wait", load_ms: 400, queue_ms: 300, stays: true },
+        MoveCase { name: "slow, longer wait", load_ms: 400, queue_ms: 900, stays: false },
     ];
     for case in cases {
         let mut pool = pool();
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -16,7 +16,7 @@
     sync::Arc,
 };
 
-/// Targets in the store.
+/// Ids of the targets in the store.
 const TARGETS: [&str; 4] = ["t0", "t1", "t2", "t3"];
 
 /// One event of the test.
@@ -193,8 +193,8 @@
     );
 }
 
-/// Guards against routers that read a snapshot one after the other: a relay that read one passes on only the
-/// changes.
+/// Guards against a snapshot that makes each router behind a relay read a snapshot too: the relay must pass on only
+/// the changes.
 #[test]
 fn a_snapshot_is_passed_on_as_changes() {
     let put = |id: &str, port| ListChange::Put(Arc::new(target(id, DESK, "a", port)));
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -224,7 +224,7 @@
 
 /// Guards against a meter whose lowered rate is raised again by routers that still have the older, higher one.
 #[test]
-fn a_meter_goes_by_the_newest_rate() {
+fn a_meter_applies_the_newest_rate() {
     let (mut meter, mut table) = (UsageMeter::new(1), LimitTable::default());
     let mut report = UsageReport {
         boot: 5,
