--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -30,7 +30,7 @@
     /// When a notice last requested a report; zero if none has.
     requested: Timestamp,
     /// Whether it contained load requests or uses. If so, one more notice must follow when they have ended.
-    was_engaged: bool,
+    had_activity: bool,
 }
 
 /// Schedule of one router's notices.
@@ -90,13 +90,13 @@
             || (target.has_load_request() && !requested_recently);
         let requested =
             if wants_report { now } else { last.map_or(Duration::ZERO, |sent| sent.requested) };
-        let was_engaged = target.is_engaged();
+        let had_activity = target.has_activity();
         let target = pool.target_mut(incarnation)?;
         if is_empty {
             // Calls wait for the base model only while the loader answers, so request a report.
             target.request_report(now);
         }
-        self.sent.insert(incarnation.clone(), SentNotice { at: now, requested, was_engaged });
+        self.sent.insert(incarnation.clone(), SentNotice { at: now, requested, had_activity });
         self.sequence += 1;
         Some(RouterNotice {
             boot: self.boot,
@@ -114,14 +114,14 @@
 
 /// Pause between notices to a target's loader; `None` if it needs none.
 fn pause(target: &TargetState, sent: Option<&SentNotice>, now: Timestamp) -> Option<Duration> {
-    let was_engaged = sent.is_some_and(|sent| sent.was_engaged);
+    let had_activity = sent.is_some_and(|sent| sent.had_activity);
     if target.is_report_pending(now) {
         Some(REPORT_REQUEST_PAUSE)
     } else if target.awaited_adapters() > 0 || target.has_unreported_calls() {
         Some(NOTICE_GAP)
-    } else if target.is_engaged() {
+    } else if target.has_activity() {
         Some(NOTICE_PAUSE)
     } else {
-        was_engaged.then_some(NOTICE_GAP)
+        had_activity.then_some(NOTICE_GAP)
     }
 }
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -191,7 +191,7 @@
     }
 
     /// Whether calls of this router run here or wait for adapters, or prefetches are requested.
-    pub fn is_engaged(&self) -> bool {
+    pub fn has_activity(&self) -> bool {
         self.has_load_request() || !self.uses.is_empty()
     }
 
--- a/crates/core/tests/core/direct/customers/fleet.rs
+++ b/crates/core/tests/core/direct/customers/fleet.rs
@@ -81,9 +81,9 @@
 
 /// Part of the requested units that were refused.
 pub fn refused_share(records: &[RunRecord], from: Timestamp) -> f64 {
-    let asked = records.iter().filter(|record| record.at >= from);
+    let requested = records.iter().filter(|record| record.at >= from);
     let (mut total, mut refused) = (0.0, 0.0);
-    for record in asked {
+    for record in requested {
         total += f64::from(record.cost);
         refused += if record.is_run { 0.0 } else { f64::from(record.cost) };
     }
--- a/crates/core/tests/core/direct/customers/keys.rs
+++ b/crates/core/tests/core/direct/customers/keys.rs
@@ -107,6 +107,6 @@
     let shown =
         format!("{rule:?} {digest:?} {} {}", digest.mark(7), String::from_utf8_lossy(&sent));
     assert!(!shown.contains("sesame"), "{shown}");
-    assert_ne!(digest.mark(7), digest.mark(8), "a mark is of one process only");
+    assert_ne!(digest.mark(7), digest.mark(8), "marks of two processes differ");
     assert_eq!(digest.mark(7), KeyDigest::new(secret.as_bytes()).expect("a key").mark(7));
 }
--- a/crates/core/tests/core/direct/customers/limits.rs
+++ b/crates/core/tests/core/direct/customers/limits.rs
@@ -57,7 +57,7 @@
 /// Guards against refusals below the limit. Calls arrive unevenly at the routers, or at other ones each second, so
 /// that with even shares one router's share would be exhausted while another's is unused.
 #[test]
-fn a_customer_below_its_limit_is_served_wherever_its_calls_come_in() {
+fn a_customer_below_its_limit_is_served_wherever_its_calls_arrive() {
     let cases = [
         SteadyCase {
             name: "spread evenly",
--- a/crates/core/tests/core/direct/customers/ways.rs
+++ b/crates/core/tests/core/direct/customers/ways.rs
@@ -36,9 +36,9 @@
 }
 
 /// Slices that meters grant.
-struct MeterWay(LimitFleet);
+struct MeterStrategy(LimitFleet);
 
-impl LimitStrategy for MeterWay {
+impl LimitStrategy for MeterStrategy {
     fn advance(&mut self) {
         self.0.advance(1);
     }
@@ -276,9 +276,9 @@
     );
 }
 
-/// A customer's calls arrive at many routers, unevenly, and at other ones each second. Guards against meters that refuse
-/// calls below the limit, and against runs beyond limit and tolerance. Even shares only prevent the second; leases
-/// prevent both, at the price of calls to the store.
+/// A customer's calls arrive at many routers, unevenly, and at other ones each second. Guards against meters that
+/// refuse calls below the limit, and against runs beyond limit and tolerance. Even shares prevent only the second
+/// fault; leases prevent both, but need calls to the store.
 #[test]
 fn slices_of_meters_serve_a_limit_best() {
     println!(
@@ -292,7 +292,7 @@
             let lease = measure(&mut LeaseStrategy::new(routers, limit), case, routers);
             let mut fleet = LimitFleet::new(routers, 6, limit, 9);
             (fleet.sent, fleet.bytes) = (0, 0);
-            let meter = measure(&mut MeterWay(fleet), case, routers);
+            let meter = measure(&mut MeterStrategy(fleet), case, routers);
             for (name, stats) in [("even share", &even), ("leases", &lease), ("meters", &meter)] {
                 print(name, routers, case, stats);
                 assert!(stats.worst <= 1.0, "{name}, {}: {:.2}", case.name, stats.worst);
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against a start at which many routers read the store: their lists would share its link, and all would
-/// get their targets late. Each router decides by those that registered before it.
+/// Guards against a start at which many routers read the store: their reads would share the store's bandwidth, and
+/// all would get their targets late. Each router knows only those that registered before it.
 #[test]
 fn few_routers_of_a_zone_read_the_store_at_a_start() {
     for routers in [6, 60, 200, 400] {
@@ -179,9 +179,9 @@
     assert_eq!(peer_table.count(&"a".into(), router(0), ms(20)), 10);
 }
 
-/// Routers of a fleet that has just started must learn all numbers soon, and later not query all of them each
-/// second. After a lost answer a router must query that zone again in its next round, not only when that zone
-/// comes next in rotation.
+/// Routers of a fleet that has just started must learn the numbers of all zones soon, but must not query all zones
+/// each second later on. After a lost answer a router must query that zone again in its next round, not only when
+/// that zone comes next in rotation.
 #[test]
 fn zones_without_a_number_are_queried_each_round() {
     let mut there = PresenceRegistry::default();
--- a/crates/core/tests/core/direct/fleet.rs
+++ b/crates/core/tests/core/direct/fleet.rs
@@ -12,7 +12,7 @@
     FleetPlan { routers, engines, calls_per_second: 10.0, adapters: engines, loss: 0.01, seed }
 }
 
-fn most(bytes: &[usize]) -> usize {
+fn maximum(bytes: &[usize]) -> usize {
     bytes.iter().copied().max().unwrap_or(0)
 }
 
@@ -41,7 +41,7 @@
     let loader = (mean(&small.bytes_of_loaders), mean(&large.bytes_of_loaders));
     assert!(loader.1 * 10 < loader.0 * 12, "bytes of a loader in three seconds: {loader:?}");
     // The busiest loader is one at which the routers of a zone register: 30 here, ten in the small fleet.
-    let busiest = (most(&small.bytes_of_loaders), most(&large.bytes_of_loaders));
+    let busiest = (maximum(&small.bytes_of_loaders), maximum(&large.bytes_of_loaders));
     assert!(busiest.1 < 3 * 19_000, "busiest loader, three seconds: {busiest:?}");
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// A loader ends and does not restart, while its engine still runs. Calls must not wait for its answers, nor be
+/// A loader crashes and does not restart, while its engine still runs. Calls must not wait for its answers, nor be
 /// lost.
 #[test]
 fn calls_are_served_without_one_loader() {
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -68,7 +68,7 @@
 pub struct Fleet {
     plan: FleetPlan,
     now: u64,
-    order: u64,
+    event_count: u64,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: BTreeMap<usize, Event>,
     routers: Vec<Router>,
@@ -119,7 +119,7 @@
         let mut fleet = Self {
             plan,
             now: 0,
-            order: 0,
+            event_count: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             routers: Vec::new(),
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Ends a loader without a restart.
+    /// Kills a loader, which does not restart.
     pub fn kill_loader(&mut self, index: usize) {
         self.loaders[index].is_alive = false;
     }
 
-    /// Distinct counts of routers that the routers have.
+    /// The distinct numbers of routers in the fleet that the routers compute.
     pub fn router_counts(&self) -> HashSet<usize> {
         let counts = self.routers.iter().enumerate();
         counts
@@ -200,10 +200,10 @@
     }
 
     fn push(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        let id = self.order as usize;
+        self.event_count += 1;
+        let id = self.event_count as usize;
         self.events.insert(id, event);
-        self.queue.push(Reverse((at, self.order, id)));
+        self.queue.push(Reverse((at, self.event_count, id)));
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/core/tests/core/direct/selection.rs
+++ b/crates/core/tests/core/direct/selection.rs
@@ -233,10 +233,9 @@
     assert_eq!(sent_to(&choose(&pool, DESK, None, 0)), Some("d1"));
 }
 
-/// A target crashed and another started at its address before the list dropped the first. A router that
-/// starts then reads both, ordered by name: it must use the later incarnation in either order, or all its
-/// calls are refused. If a late update of the ended one made it the later entry, the first refused call
-/// corrects that.
+/// A target crashed and another started at its address before the list dropped the first. A router that starts then
+/// reads both, ordered by name: it must use the later incarnation in either order, or all its calls are refused. If a
+/// late update makes the ended incarnation the later entry, the first refused call corrects that.
 #[test]
 fn the_later_incarnation_at_an_address_is_taken_in_any_order() {
     let listed = |id: &str, generation: u64| {
@@ -294,7 +293,7 @@
     assert!(queued_plain_ms(&pool, &need, ms(800)) > 100.0, "20 calls at 16 slots");
 }
 
-/// A target answers that it is another incarnation than the one addressed.
+/// A target that answers as another incarnation than the one addressed must get no more calls for the old one.
 #[test]
 fn a_displaced_target_gets_no_calls() {
     let mut pool = pool();
--- a/crates/core/tests/core/direct/sharing/growth.rs
+++ b/crates/core/tests/core/direct/sharing/growth.rs
@@ -19,7 +19,7 @@
 /// Guards against a start at which every router watches the store: its calls, and their cost, would grow with
 /// the routers, and all would hit its rate limits together.
 #[test]
-fn calls_of_the_store_at_a_start_do_not_grow_with_the_routers() {
+fn calls_to_the_store_at_a_start_do_not_grow_with_the_routers() {
     let calls = ZONES.map(|routers| {
         let mut zone = Zone::new(routers, routers * ENGINES);
         zone.simulate(DRAIN, 0);
@@ -32,8 +32,8 @@
     assert!(calls.iter().all(|count| *count <= 2 * calls[0]), "{calls:?} calls for {ZONES:?}");
 }
 
-/// Guards against a watcher that sends to every router of its zone: its bytes would grow with routers times
-/// targets. Each router answers about the square root of them, and gets no more hints in a larger fleet.
+/// Guards against a watcher that sends to every router of its zone: its bytes would grow with routers times targets.
+/// Each router may answer only about the square root of the zone's routers, and gets no more hints in a larger fleet.
 #[test]
 fn bytes_of_the_busiest_router_grow_with_the_root_of_the_zone() {
     let busiest = ZONES.map(|routers| {
@@ -75,10 +75,10 @@
     }
 }
 
-/// Guards against a relay whose failure is not detected: the routers behind it must find another one, without
+/// Guards against a relay whose failure is not detected: the routers that query it must find another one, without
 /// calls to the store.
 #[test]
-fn a_failing_relay_costs_no_call_of_the_store() {
+fn a_failing_relay_causes_no_call_to_the_store() {
     for routers in ZONES {
         let mut zone = settled(routers);
         zone.simulate(DRAIN, 0);
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouterFault {
     None,
-    /// It does nothing and answers no queries.
+    /// The router does nothing and answers no queries.
     Frozen,
-    /// The store refuses its calls.
+    /// The store refuses the router's calls.
     Refused,
 }
 
@@ -64,7 +64,7 @@
     fault: RouterFault,
 }
 
-/// Counts over the simulated time.
+/// Counts since the last reset.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneCounts {
     /// Watch calls to the store, which cost the full price.
@@ -78,7 +78,7 @@
 }
 
 impl ZoneCounts {
-    /// Number of routers behind the busiest upstream.
+    /// Number of routers that query the busiest upstream.
     pub fn max_clients(&self) -> usize {
         self.clients.values().map(Vec::len).max().unwrap_or(0)
     }
@@ -303,8 +303,8 @@
         let now = self.now;
         let router = &mut self.routers[index];
         router.pending = None;
-        let is_left = router.machine.apply_reply(address(pending.upstream), reply, ms(now));
-        if reply != UpstreamReply::Changes && !is_left {
+        let is_dropped = router.machine.apply_reply(address(pending.upstream), reply, ms(now));
+        if reply != UpstreamReply::Changes && !is_dropped {
             router.next_query = now + RETRY_PAUSE;
         }
     }
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Requests that a target may get in any window.
+/// Maximum of requests that a target may get in any window.
 fn allowed(rate: f64) -> f64 {
     1.5 * rate * WINDOW.as_secs_f64() + 5.0
 }
