--- a/crates/core/src/direct/customers.rs
+++ b/crates/core/src/direct/customers.rs
@@ -111,7 +111,7 @@
         Ok(Self { rules, by_key })
     }
 
-    /// All customers.
+    /// Rules of all customers.
     pub fn rules(&self) -> &[Arc<CustomerRule>] {
         &self.rules
     }
--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -11,7 +11,7 @@
 const PRIOR_CALLS: f64 = 4.0;
 /// First backoff after a failed connection.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest backoff. The list, which lags, removes targets that are gone after about four seconds.
+/// Longest backoff. The list lags: it drops a target about four seconds after the target's end.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Outcome of a call at a target.
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -98,8 +98,8 @@
         LimitShares::new(&self.rule, fleet)
     }
 
-    /// Whether no call used the limit lately, apart from those that wait for the first grant. A meter that is new to the
-    /// limit may then grant the full burst.
+    /// Whether no call used the limit within the last window, apart from those that wait for the first grant. A meter
+    /// that is new to the limit may then grant the full burst.
     pub(super) fn is_quiet(&self, now: Timestamp) -> bool {
         let is_recent = |since| now.saturating_sub(since) < FIRST_GRANT_TIME;
         !self.has_unmetered_use && self.busy_since.is_none_or(is_recent)
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -196,7 +196,8 @@
         }
         let router = self.routers.get_mut(&report.boot)?;
         let limit = self.limits.entry(request.tag).or_insert_with(|| {
-            // If the limit was used lately, another meter or an earlier start of this one has granted those units.
+            // If the limit was used within the last window, another meter or an earlier start of this one has granted
+            // those units.
             let level = if request.is_quiet { f64::from(request.capacity) * share } else { 0.0 };
             MeteredLimit {
                 meter: report.meter,
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -153,7 +153,7 @@
 pub enum ListChange {
     /// An entry is new or changed.
     Put(Arc<TargetEntry>),
-    /// An entry is gone.
+    /// An entry was removed.
     Removed(InstanceId),
 }
 
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -14,7 +14,8 @@
 
 /// Pause after which an unanswered report request is sent again: datagrams may be lost.
 const REPORT_REQUEST_PAUSE: Duration = Duration::from_millis(50);
-/// Minimum pause between notices to one loader; calls that begin or end within it are reported together.
+/// Minimum pause between notices to one loader; calls that begin or end within it are reported together. A new load
+/// request does not wait for it.
 const NOTICE_GAP: Duration = Duration::from_millis(100);
 /// Pause between notices to a loader at whose engine calls run and nothing changes. The loader drops a router's
 /// state after 2.5 s, and adapters in use by its calls would then be evicted.
--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -88,9 +88,9 @@
 /// Whether a router needs a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChangeImportance {
-    /// It must be passed on.
+    /// Routers need it, so it must be passed on.
     Required,
-    /// It only saves a report request to a loader.
+    /// It only saves a router a report request to a loader.
     Hint,
 }
 
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -152,7 +152,7 @@
         entries.map(|entry| SharedChange::Target(ListChange::Put(entry))).collect()
     }
 
-    /// All newest versions, as changes.
+    /// Newest versions of all adapters, as changes.
     pub fn release_snapshot(&self) -> Vec<SharedChange> {
         let releases = self.releases.iter().map(|(adapter, version)| AdapterRelease {
             adapter: adapter.clone(),
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -166,7 +166,7 @@
         waited.is_some_and(|waited| (REPORT_TIMEOUT..REPORT_RETRY_PAUSE).contains(&waited))
     }
 
-    /// Whether its loader is silent; true only once for each report request.
+    /// Whether its loader is silent; returns true only once for each report request.
     pub(super) fn note_silence(&mut self, now: Timestamp) -> bool {
         let is_new = self.is_loader_silent(now) && self.noted_silence != self.report_requested;
         if is_new {
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -89,7 +89,7 @@
         self.releases.get(adapter).copied().unwrap_or(1)
     }
 
-    /// All announced versions.
+    /// Newest announced version of each adapter.
     pub fn releases(&self) -> impl Iterator<Item = (&AdapterId, AdapterVersion)> {
         self.releases.iter().map(|(adapter, version)| (adapter, *version))
     }
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -1,9 +1,9 @@
 //! Mean times of runs, loads and waits over all engines, as one router sees them.
 //!
-//! They stand in for engines without a recent report, as a router has reports only of engines that it queried lately.
-//! If an unknown engine counted as idle, it would look better than any engine that is known to be busy: calls would
-//! leave the engines that their adapters are assigned to for others that turn out no less busy, and each such call
-//! would load its adapter from the weight store once more.
+//! They stand in for engines without a recent report, as a router has reports only of engines that it queried
+//! recently. If an unknown engine counted as idle, it would look better than any engine that is known to be busy:
+//! calls would move from the engines that their adapters are assigned to, to others that are just as busy, and each
+//! such call would load its adapter from the weight store once more.
 
 use super::messages::LoaderReport;
 use std::time::Duration;
