--- a/crates/core/src/direct/limits/terms.rs
+++ b/crates/core/src/direct/limits/terms.rs
@@ -31,7 +31,7 @@
 }
 
 impl UsageLimit {
-    /// Units that a call uses which states these token counts.
+    /// Units that a call uses; `tokens` is `None` if it states no token counts.
     pub fn cost(&self, tokens: Option<TokenCounts>) -> UsageCost {
         match (self.unit, tokens) {
             (UsageUnit::Calls, _) => 1,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Most units that the limit allows in any span of this length.
+    /// Maximum of units that the limit allows in any span of this length.
     pub fn total(&self, span: Duration) -> f64 {
         self.rate * span.as_secs_f64() + self.burst
     }
@@ -52,9 +52,9 @@
 pub struct LimitTerms {
     /// Span over which usage is counted.
     pub window: Duration,
-    /// Tolerance as a part of the limit.
+    /// Tolerance as a part of the units that the limit allows in a window.
     pub overage: f64,
-    /// Further tolerance in units.
+    /// Tolerance in units, added to that of `overage`.
     pub slack: f64,
 }
 
@@ -75,7 +75,7 @@
 /// Part of the tolerance that all routers together may hold unused.
 const SLICE_SHARE: f64 = 0.25;
 /// Part of the tolerance that all routers together may use before their meters grant it.
-const AHEAD_SHARE: f64 = 0.1;
+const CREDIT_SHARE: f64 = 0.1;
 /// Part of the tolerance by which one large call may exceed the units left. Up to this size, large and small calls have
 /// the same chance at an exhausted limit; without it a large call would wait for the bucket to fill while small
 /// ones keep it empty.
@@ -111,14 +111,15 @@
     /// Units that one router may hold unused.
     pub slice: f64,
     /// Units that one router may use before its meter grants them.
-    pub ahead: f64,
+    pub credit: f64,
     /// Units by which a grant may exceed the units left.
     pub overdraft: f64,
     /// Highest cost of a single call, at least one unit; a higher cost would exceed the limit by itself.
-    pub largest: f64,
+    pub max_cost: f64,
     /// Units a second that one router refills by itself while it has no meter.
     pub even_rate: f64,
-    /// Most units that one router may use at once while it has no meter. A call that costs more is refused meanwhile.
+    /// Maximum of units that one router may use at once while it has no meter. A call that costs more is refused
+    /// meanwhile.
     pub even_capacity: f64,
 }
 
@@ -134,9 +135,9 @@
             rate: limit.rate,
             capacity,
             slice: SLICE_SHARE * tolerance / routers,
-            ahead: AHEAD_SHARE * tolerance / upper_bound,
+            credit: CREDIT_SHARE * tolerance / upper_bound,
             overdraft: OVERDRAFT_SHARE * tolerance,
-            largest: total.max(1.0),
+            max_cost: total.max(1.0),
             even_rate: limit.rate / upper_bound,
             even_capacity: capacity / upper_bound,
         }
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -104,7 +104,8 @@
     pub zone: ZoneName,
     /// Calls that it runs at once.
     pub slots: u32,
-    /// Grows from target to target: of two entries at one address the later one has the higher number.
+    /// Number that increases with each new target: of two entries at one address, the later one has the higher
+    /// number.
     pub generation: u64,
     /// Whether it is draining and takes no new calls.
     #[serde(rename = "is_leaving")]
@@ -152,7 +153,7 @@
 pub enum ListChange {
     /// An entry is new or changed.
     Put(Arc<TargetEntry>),
-    /// An entry is gone.
+    /// An entry was removed.
     Removed(InstanceId),
 }
 
@@ -173,18 +174,18 @@
     /// Entries missing since an outage, and until when they are still used.
     lapsed: HashMap<InstanceId, Timestamp>,
     grace_until: Timestamp,
-    is_out: bool,
+    is_store_lost: bool,
 }
 
 impl TargetList {
     /// Records that the store cannot be reached; known entries stay in use.
     pub fn note_outage(&mut self) {
-        self.is_out = true;
+        self.is_store_lost = true;
     }
 
     /// Records that the store answered at `now`; after an outage this starts the grace period.
     pub fn note_contact(&mut self, now: Timestamp) {
-        if std::mem::take(&mut self.is_out) {
+        if std::mem::take(&mut self.is_store_lost) {
             self.grace_until = now + LAPSE_GRACE;
         }
     }
@@ -245,7 +246,7 @@
     }
 
     fn remove(&mut self, id: &InstanceId, now: Timestamp) {
-        let is_kept = self.is_out || now < self.grace_until;
+        let is_kept = self.is_store_lost || now < self.grace_until;
         let is_draining = self.entries.get(id).is_none_or(|entry| entry.is_draining);
         if is_kept && !is_draining {
             let until = self.grace_until.max(now);
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -14,22 +14,24 @@
 
 /// Pause after which an unanswered report request is sent again: datagrams may be lost.
 const REPORT_REQUEST_PAUSE: Duration = Duration::from_millis(50);
-/// Minimum pause between notices to one loader; calls that begin or end within it are reported together.
+/// Minimum pause between notices to one loader; calls that begin or end within it are reported together. A new load
+/// request does not wait for it.
 const NOTICE_GAP: Duration = Duration::from_millis(100);
 /// Pause between notices to a loader at whose engine calls run and nothing changes. The loader drops a router's
 /// state after 2.5 s, and adapters in use by its calls would then be evicted.
 const NOTICE_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between report requests to a loader where calls wait. It reports unasked that an adapter is loaded, but
-/// not how much longer a load will take.
+/// Pause between report requests to a loader where calls wait. The loader reports a completed load without a request,
+/// but not how much longer a load will take.
 const WAIT_PAUSE: Duration = Duration::from_millis(300);
 
 /// The last notice to a loader.
 #[derive(Clone, Copy, Debug)]
 struct SentNotice {
     at: Timestamp,
+    /// When a notice last requested a report; zero if none has.
     requested: Timestamp,
-    /// Whether it held load requests or uses, so that one more notice must follow when they have ended.
-    was_engaged: bool,
+    /// Whether it contained load requests or uses. If so, one more notice must follow when they have ended.
+    had_activity: bool,
 }
 
 /// Schedule of one router's notices.
@@ -60,8 +62,8 @@
             let sent = self.sent.get(&target.entry.incarnation);
             match pause(target, sent, now) {
                 Some(pause) => sent.is_none_or(|sent| now.saturating_sub(sent.at) >= pause),
-                // The loader of an empty engine needs an offer of base models. One router of the fleet
-                // in each round is enough, whatever the size of the fleet.
+                // The loader of an empty engine needs an offer of base models. One offer in each round is enough, so
+                // each router sends one at random: one router of the fleet on average.
                 None => target.is_empty_engine(now) && draw() * (routers as f64) < 1.0,
             }
         });
@@ -89,13 +91,13 @@
             || (target.has_load_request() && !requested_recently);
         let requested =
             if wants_report { now } else { last.map_or(Duration::ZERO, |sent| sent.requested) };
-        let was_engaged = target.is_engaged();
+        let had_activity = target.has_activity();
         let target = pool.target_mut(incarnation)?;
         if is_empty {
-            // Calls wait for its base model only while its loader answers; so request a report.
+            // Calls wait for the base model only while the loader answers, so request a report.
             target.request_report(now);
         }
-        self.sent.insert(incarnation.clone(), SentNotice { at: now, requested, was_engaged });
+        self.sent.insert(incarnation.clone(), SentNotice { at: now, requested, had_activity });
         self.sequence += 1;
         Some(RouterNotice {
             boot: self.boot,
@@ -113,14 +115,14 @@
 
 /// Pause between notices to a target's loader; `None` if it needs none.
 fn pause(target: &TargetState, sent: Option<&SentNotice>, now: Timestamp) -> Option<Duration> {
-    let was_engaged = sent.is_some_and(|sent| sent.was_engaged);
+    let had_activity = sent.is_some_and(|sent| sent.had_activity);
     if target.is_report_pending(now) {
         Some(REPORT_REQUEST_PAUSE)
     } else if target.awaited_adapters() > 0 || target.has_unreported_calls() {
         Some(NOTICE_GAP)
-    } else if target.is_engaged() {
+    } else if target.has_activity() {
         Some(NOTICE_PAUSE)
     } else {
-        was_engaged.then_some(NOTICE_GAP)
+        had_activity.then_some(NOTICE_GAP)
     }
 }
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -1,9 +1,9 @@
 //! Mean times of runs, loads and waits over all engines, as one router sees them.
 //!
-//! They stand in for engines without a recent report, as a router has reports only of engines that it queried lately.
-//! If an unknown engine counted as idle, it would look better than any engine that is known to be busy: calls would
-//! leave the engines that their adapters are assigned to for others that turn out no less busy, and each such call
-//! would load its adapter from the weight store once more.
+//! They stand in for engines without a recent report, as a router has reports only of engines that it queried
+//! recently. If an unknown engine counted as idle, it would look better than any engine that is known to be busy:
+//! calls would move from the engines that their adapters are assigned to, to others that are just as busy, and each
+//! such call would load its adapter from the weight store once more.
 
 use super::messages::LoaderReport;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 /// Weight of a new run in the mean: a router completes some ten a second, long and short ones.
 const RUN_WEIGHT: f64 = 0.05;
 /// Wait in ms for each load in the queue for an adapter slot, at an engine whose loaded adapters are all in use. Runs
-/// last 0.4 s on average, and of ten adapters in use some two are used by several calls, so that a slot
-/// becomes free about this often.
+/// last 0.4 s on average, and about two of ten adapters in use are used by several calls, so that a slot becomes free
+/// about this often.
 const SLOT_MS: f64 = 60.0;
 
 /// Means over the reports of all loaders and this router's runs at all engines, in milliseconds.
--- a/crates/core/tests/core/direct/customers/limits.rs
+++ b/crates/core/tests/core/direct/customers/limits.rs
@@ -41,7 +41,7 @@
     fleet.call(0, 8_501);
     assert!(!fleet.records[0].is_run, "8 s hold 8,500");
     assert!(
-        (LimitShares::new(&customer_rule(limit), FleetSize::new(3, 3)).largest - 8_500.0).abs()
+        (LimitShares::new(&customer_rule(limit), FleetSize::new(3, 3)).max_cost - 8_500.0).abs()
             < 1e-6
     );
 }
@@ -57,7 +57,7 @@
 /// Guards against refusals below the limit. Calls arrive unevenly at the routers, or at other ones each second, so
 /// that with even shares one router's share would be exhausted while another's is unused.
 #[test]
-fn a_customer_below_its_limit_is_served_wherever_its_calls_come_in() {
+fn a_customer_below_its_limit_is_served_wherever_its_calls_arrive() {
     let cases = [
         SteadyCase {
             name: "spread evenly",
@@ -185,7 +185,7 @@
     assert!(refused < 0.05, "{refused:.3} refused under the raised limit");
 }
 
-/// Guards against routers that learn of no others from loaders, and each use the whole limit as their share.
+/// Guards against routers that use the full limit each, because loaders have listed no other routers to them.
 #[test]
 fn routers_that_do_not_know_each_other_keep_a_limit() {
     let limit = UsageLimit { unit: UsageUnit::Calls, rate: 4.0, burst: 4.0 };
@@ -217,10 +217,10 @@
         faults.extend(fleet.inject_fault(&mut rng));
         let share = rng.random_range(0.2..6.0);
         let fixed_router = rng.random_range(0..routers);
-        let largest = (rate * rng.random_range(0.01..0.3)).max(2.0) as u32;
+        let max_cost = (rate * rng.random_range(0.01..0.3)).max(2.0) as u32;
         let frozen = fleet.frozen_routers.clone();
         let seconds = rng.random_range(1..4);
-        send_calls(&mut fleet, rate * share, (1, largest), seconds, |rng, now| {
+        send_calls(&mut fleet, rate * share, (1, max_cost), seconds, |rng, now| {
             let router =
                 if fixed_router % 2 == 0 { fixed_router } else { rng.random_range(0..routers) };
             unfrozen_router(&frozen, router, routers, now)
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against a start at which many routers read the store: their lists would share its link, and all would
-/// get their targets late. Each router decides by those that registered before it.
+/// Guards against a start at which many routers read the store: their reads would share the store's bandwidth, and
+/// all would get their targets late. Each router knows only those that registered before it.
 #[test]
 fn few_routers_of_a_zone_read_the_store_at_a_start() {
     for routers in [6, 60, 200, 400] {
@@ -110,7 +110,7 @@
 
 /// Three of a zone's twelve routers crash at once. The others must not count them forever.
 #[test]
-fn routers_that_died_are_not_counted_for_long() {
+fn crashed_routers_are_not_counted_for_long() {
     let mut registry = PresenceRegistry::default();
     let mut peer_table = RouterTable::default();
     let zone: ZoneName = "a".into();
@@ -129,8 +129,8 @@
     }
 }
 
-/// Routers of other zones send their presence only to query a number. Counted here, each would count several
-/// times.
+/// Routers of other zones send their presence to a loader only to query the number of its zone's routers. If the
+/// loader counted them too, each router would count several times.
 #[test]
 fn a_zone_is_counted_where_its_routers_register() {
     let mut registry = PresenceRegistry::default();
@@ -179,9 +179,9 @@
     assert_eq!(peer_table.count(&"a".into(), router(0), ms(20)), 10);
 }
 
-/// Routers of a fleet that has just started must learn all numbers soon, and later not query all of them each
-/// second. After a lost answer a router must query that zone again in its next round, not only when that zone
-/// comes next in rotation.
+/// Routers of a fleet that has just started must learn the numbers of all zones soon, but must not query all zones
+/// each second later on. After a lost answer a router must query that zone again in its next round, not only when
+/// that zone comes next in rotation.
 #[test]
 fn zones_without_a_number_are_queried_each_round() {
     let mut there = PresenceRegistry::default();
@@ -191,10 +191,10 @@
         let directory = there.take(&presence(zone, 5, true), ms(0));
         peer_table.note(&directory, ms(0));
     }
-    assert_eq!(peer_table.zones_to_ask(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
-    assert_eq!(peer_table.zones_to_ask(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
-    assert_eq!(peer_table.zones_to_ask(&zones, 10, ms(10_000)), [&zones[1]]);
-    assert!(peer_table.zones_to_ask(&[], 10, ms(10_000)).is_empty());
+    assert_eq!(peer_table.zones_to_query(&zones, 0, ms(1_000)), zones.iter().collect::<Vec<_>>());
+    assert_eq!(peer_table.zones_to_query(&zones, 9, ms(9_000)), [&zones[0], &zones[1]]);
+    assert_eq!(peer_table.zones_to_query(&zones, 10, ms(10_000)), [&zones[1]]);
+    assert!(peer_table.zones_to_query(&[], 10, ms(10_000)).is_empty());
 }
 
 /// Guards against a router that counts itself as the only one because no loader has sent it others yet.
--- a/crates/core/tests/core/direct/fleet/simulation.rs
+++ b/crates/core/tests/core/direct/fleet/simulation.rs
@@ -26,7 +26,7 @@
 };
 
 const ZONES: usize = 5;
-/// Time for which a call runs once it has been sent, in milliseconds.
+/// Run time of a call, in milliseconds.
 const RUN_MS: u64 = 400;
 /// Pause between steps of a process, in milliseconds.
 const STEP_MS: u64 = 10;
@@ -68,7 +68,7 @@
 pub struct Fleet {
     plan: FleetPlan,
     now: u64,
-    order: u64,
+    event_count: u64,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: BTreeMap<usize, Event>,
     routers: Vec<Router>,
@@ -119,7 +119,7 @@
         let mut fleet = Self {
             plan,
             now: 0,
-            order: 0,
+            event_count: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             routers: Vec::new(),
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Ends a loader without a restart.
+    /// Kills a loader, which does not restart.
     pub fn kill_loader(&mut self, index: usize) {
         self.loaders[index].is_alive = false;
     }
 
-    /// Distinct counts of routers that the routers have.
+    /// The distinct numbers of routers in the fleet that the routers compute.
     pub fn router_counts(&self) -> HashSet<usize> {
         let counts = self.routers.iter().enumerate();
         counts
@@ -200,10 +200,10 @@
     }
 
     fn push(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        let id = self.order as usize;
+        self.event_count += 1;
+        let id = self.event_count as usize;
         self.events.insert(id, event);
-        self.queue.push(Reverse((at, self.order, id)));
+        self.queue.push(Reverse((at, self.event_count, id)));
     }
 
     fn handle(&mut self, event: Event) {
@@ -263,7 +263,7 @@
             excluded: &[],
             routers: self.plan.routers,
             waiting_at: None,
-            may_ask: self.now < arrived + 200,
+            may_request_report: self.now < arrived + 200,
         };
         let rng = &mut self.rng;
         match choose_target(&router.pool, &need, now, || rng.random()) {
@@ -274,7 +274,7 @@
                 self.notify(index, &incarnation);
                 self.push(self.now + RUN_MS, Event::Ended(index, incarnation, id));
             }
-            TargetChoice::Ask(incarnation) => {
+            TargetChoice::RequestReport(incarnation) => {
                 if router.pool.request_report(&incarnation, now) {
                     self.notify(index, &incarnation);
                 }
@@ -341,7 +341,7 @@
         let round = router.presences;
         router.presences += 1;
         let zones: Vec<ZoneName> = (0..ZONES).map(zone_name).filter(|z| *z != zone).collect();
-        let queried = router.peer_table.zones_to_ask(&zones, round, ms(self.now));
+        let queried = router.peer_table.zones_to_query(&zones, round, ms(self.now));
         let queried: Vec<usize> =
             queried.into_iter().map(|other| self.registry(other)[round % 2]).collect();
         let mut own = self.registry(&zone);
--- a/crates/core/tests/core/direct/selection/costs.rs
+++ b/crates/core/tests/core/direct/selection/costs.rs
@@ -13,7 +13,7 @@
     targets::TargetPool,
 };
 
-/// The engine that the choice has load the call's adapter.
+/// The engine at which the router has the call's adapter loaded.
 fn loaded_at(pool: &TargetPool, call: &ModelCall) -> TargetIncarnation {
     match choose(pool, ENGINES, Some(call), 10) {
         TargetChoice::Load(incarnation, _, _) => incarnation,
@@ -21,12 +21,12 @@
     }
 }
 
-/// Loads from the weight store take three times as long while it is overloaded, and a load at an engine that
-/// is not preferred transfers an adapter twice. So the longer loads take, the longer a
-/// call must wait at its preferred engine rather than go to another one.
+/// Loads from the weight store take three times as long while it is overloaded, and a load at an engine that is not
+/// preferred transfers an adapter twice. So the longer loads take, the longer a call must wait at its preferred
+/// engine before it goes to another one.
 #[test]
-fn strays_cost_more_while_loads_are_slow() {
-    struct StrayCase {
+fn loads_at_other_engines_cost_more_while_loads_are_slow() {
+    struct MoveCase {
         name: &'static str,
         load_ms: u16,
         /// Wait at the preferred engine.
@@ -34,10 +34,10 @@
         stays: bool,
     }
     let cases = [
-        StrayCase { name: "fast, short wait", load_ms: 100, queue_ms: 80, stays: true },
-        StrayCase { name: "fast, long wait", load_ms: 100, queue_ms: 300, stays: false },
-        StrayCase { name: "slow, the same wait", load_ms: 400, queue_ms: 300, stays: true },
-        StrayCase { name: "slow, longer wait", load_ms: 400, queue_ms: 900, stays: false },
+        MoveCase { name: "fast, short wait", load_ms: 100, queue_ms: 80, stays: true },
+        MoveCase { name: "fast, long wait", load_ms: 100, queue_ms: 300, stays: false },
+        MoveCase { name: "slow, the same wait", load_ms: 400, queue_ms: 300, stays: true },
+        MoveCase { name: "slow, longer wait", load_ms: 400, queue_ms: 900, stays: false },
     ];
     for case in cases {
         let mut pool = pool();
@@ -81,28 +81,28 @@
     let mut pool = pool();
     let call = model_call(Some("h7"));
     let (service, zone) = (ENGINES.into(), "a".into());
-    let ask = CallNeed { may_ask: true, ..need(&service, &zone, Some(&call)) };
+    let may_request = CallNeed { may_request_report: true, ..need(&service, &zone, Some(&call)) };
     let choose =
         |pool: &TargetPool, need: &CallNeed<'_>, at| choose_target(pool, need, ms(at), || 0.5);
     take_report(&mut pool, report("e2", 1, &[("h7", 1)]), ms(0));
     let send = TargetChoice::Send("e2".into(), Some(1));
-    assert_eq!(choose(&pool, &ask, 10), send, "fresh");
-    assert_eq!(choose(&pool, &ask, 400), TargetChoice::Ask("e2".into()), "old");
+    assert_eq!(choose(&pool, &may_request, 10), send, "fresh");
+    assert_eq!(choose(&pool, &may_request, 400), TargetChoice::RequestReport("e2".into()), "old");
     assert_eq!(
-        choose(&pool, &CallNeed { may_ask: false, ..ask.clone() }, 400),
+        choose(&pool, &CallNeed { may_request_report: false, ..may_request.clone() }, 400),
         send,
         "no more requests"
     );
     pool.request_report(&"e2".into(), ms(400));
     assert_eq!(
-        choose(&pool, &ask, 540),
-        TargetChoice::Ask("e2".into()),
+        choose(&pool, &may_request, 540),
+        TargetChoice::RequestReport("e2".into()),
         "an answer may be in transit"
     );
-    assert_eq!(choose(&pool, &ask, 560), send, "silent: another request would not help");
+    assert_eq!(choose(&pool, &may_request, 560), send, "silent: another request would not help");
     take_report(&mut pool, report("e2", 2, &[("h7", 1)]), ms(700));
     pool.call_started(&"e2".into(), Some(&adapter("h7")), 0);
-    assert_eq!(choose(&pool, &ask, 1_700), send, "in use by a call of this router");
+    assert_eq!(choose(&pool, &may_request, 1_700), send, "in use by a call of this router");
 }
 
 /// All batch slots of the preferred engine are taken. One becomes free within about a twelfth of a run, while
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Requests that a target may get in any window.
+/// Maximum of requests that a target may get in any window.
 fn allowed(rate: f64) -> f64 {
     1.5 * rate * WINDOW.as_secs_f64() + 5.0
 }
@@ -224,7 +224,7 @@
 
 /// Guards against a meter whose lowered rate is raised again by routers that still have the older, higher one.
 #[test]
-fn a_meter_goes_by_the_newest_rate() {
+fn a_meter_applies_the_newest_rate() {
     let (mut meter, mut table) = (UsageMeter::new(1), LimitTable::default());
     let mut report = UsageReport {
         boot: 5,
