--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -360,7 +360,8 @@
         Ok(to_strings(&["--announce", &listen]))
     }
 
-    /// Starts a second agent for engine `index`, which competes with the first one for its slot.
+    /// Starts a second agent for engine `index`, at its own address as a successor on another host would be. It
+    /// competes with the first agent for the slot.
     pub fn start_successor(&mut self, index: usize) -> Result<()> {
         let plan: EnginePlan = self.plan.engines[index].clone();
         let mut arguments = vec!["agent".to_owned()];
--- a/crates/standin/src/cluster/process.rs
+++ b/crates/standin/src/cluster/process.rs
@@ -1,4 +1,5 @@
-//! Child processes of a test cluster and the directory of their logs.
+//! Child processes of a test cluster, which are signalled by process id, and the directory of their
+//! logs.
 
 use super::TEST_KEY;
 use eyre::{Result, WrapErr, ensure, eyre};
--- a/crates/standin/tests/integration/operators.rs
+++ b/crates/standin/tests/integration/operators.rs
@@ -62,8 +62,8 @@
 
 /// Guards against calls that depend on the platform. During an outage, calls to resident adapters,
 /// loads and evictions must work, and a configuration change must fail with exit status 1 and an
-/// error that names the platform or says that nothing changed. After the outage changes must work
-/// again.
+/// error that names the platform or says that nothing changed. The failed change must not take
+/// effect, and after the outage changes must work again.
 #[tokio::test]
 async fn requests_loads_and_evictions_work_during_an_outage() -> Result<()> {
     let mut plan = ClusterPlan::new(2, 1, &["kandy"]);
