--- a/crates/standin/src/faults/ledger.rs
+++ b/crates/standin/src/faults/ledger.rs
@@ -19,7 +19,7 @@
     Answered,
     /// An error which states that the call was not run, or no connection was made.
     NotRun,
-    /// Unknown outcome: it may have run.
+    /// Unknown outcome: it may have run, as when the connection broke or no answer came in time.
     Unknown,
 }
 
--- a/crates/standin/tests/integration/support.rs
+++ b/crates/standin/tests/integration/support.rs
@@ -25,7 +25,8 @@
     Ok(cluster)
 }
 
-/// Sends a call through an entry and checks that the answer is complete and comes from `model`.
+/// Sends a call through an entry and checks that the answer is complete, comes from `model`, and has
+/// the expected content in every byte.
 pub async fn send_and_check(
     cluster: &Cluster,
     entry: usize,
