--- a/crates/core/src/direct/advertised_state.rs
+++ b/crates/core/src/direct/advertised_state.rs
@@ -1,5 +1,5 @@
-//! Draining and backoff, as targets advertise them in their answers. The state is kept for each incarnation of a target
-//! and is local to one router.
+//! Draining and backoff, as targets advertise them in their answers. The state is kept for each incarnation of a
+//! target and is local to one router.
 
 use super::{
     membership::TargetIncarnation,
@@ -49,8 +49,8 @@
         !std::mem::replace(&mut self.is_draining, true)
     }
 
-    /// Records a requested backoff; returns whether the target was not backing off before. A shorter backoff that arrives
-    /// later does not cut a longer one, as answers may overtake each other.
+    /// Records a requested backoff; returns whether the target was not backing off before. A shorter backoff that
+    /// arrives later does not cut a longer one, as answers may overtake each other.
     pub fn record_backoff(&mut self, backoff: Duration, now: Timestamp) -> bool {
         let is_new = !self.is_backing_off(now);
         self.as_of = self.as_of.max(now);
--- a/crates/core/src/direct/backlog.rs
+++ b/crates/core/src/direct/backlog.rs
@@ -1,14 +1,14 @@
 //! Estimate of the prompt tokens that an engine has not prefilled yet, from the calls that routers report.
 //!
 //! One call in thirty has a prompt of 10,000 tokens or more, which takes an engine half a second to prefill while all
-//! later calls wait for their first byte. Engines report calls, not tokens, and a router knows only its own calls: in a
-//! large fleet, one in sixty of the prompts that are queued before its own.
+//! later calls wait for their first byte. Engines report calls, not tokens, and a router knows only its own calls: in
+//! a large fleet, one in sixty of the prompts that are queued before its own.
 
 use crate::ids::Timestamp;
 use std::time::Duration;
 
-/// Prompt tokens that an engine prefills in a millisecond; the value of the first engines in use. For slower engines the
-/// backlog is underestimated, as if other routers' prompts were unknown.
+/// Prompt tokens that an engine prefills in a millisecond; the value of the first engines in use. For slower engines
+/// the backlog is underestimated, as if other routers' prompts were unknown.
 pub(super) const TOKENS_PER_MS: f64 = 38.0;
 
 /// Pending prefill tokens at one engine, reduced over time by `TOKENS_PER_MS`.
--- a/crates/core/src/direct/budget.rs
+++ b/crates/core/src/direct/budget.rs
@@ -5,8 +5,8 @@
 
 /// Steps that the window is divided into; all counts of a step leave the window together.
 const WINDOW_STEPS: usize = 20;
-/// Share of the fleet's allowance that routers use. The rest covers counts of routers that arrive late, and routers
-/// that have just started.
+/// Share of the fleet's allowance that routers use. The rest is for routers that have just started, and for routers
+/// that divide the slack among too few others, as they learn the number of routers late.
 const USED_SHARE: f64 = 0.7;
 /// Retries beyond the ratio at a router that has just started, in place of its share of the slack: enough
 /// for a first call that is refused. Thirty routers that start together use thirty, which the unused part
@@ -52,12 +52,12 @@
 
     /// Takes one retry out of the budget in a fleet of `routers`; returns false if the budget is exhausted.
     ///
-    /// The ratio applies to this router's own calls and needs no coordination; only the slack is divided. A router that
-    /// knows too few others would overdraw it, which `USED_SHARE` covers.
+    /// The ratio applies to this router's own calls and needs no coordination; only the slack is divided. A router
+    /// that knows too few others would overdraw it, which `USED_SHARE` covers.
     ///
-    /// Until one window after its start, a router gets at most `FRESH_SLACK` of its share of the slack: it does not know
-    /// the number of routers yet, nor what it used before it restarted. Otherwise routers that were killed together
-    /// while targets failed would each use the full slack once more.
+    /// Until one window after its start, a router gets no more slack than `FRESH_SLACK`: it does not know the number
+    /// of routers yet, nor what it used before it restarted. Otherwise routers that were killed together while
+    /// targets failed would each use the full slack once more.
     pub fn try_retry(&mut self, now: Timestamp, routers: usize) -> bool {
         let first = self.step_number(now).saturating_sub(WINDOW_STEPS as u64 - 1);
         let in_window = self.steps.iter().filter(|step| step.number >= first);
--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -10,7 +10,7 @@
 /// Number of a configuration's version; increases with each version, not always by one.
 pub type ConfigNumber = u64;
 
-/// Time limit for a caller to send a head, until a configuration sets another.
+/// Time limit for a caller to send a head before its connection is closed, until a configuration sets another.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle time after which a caller's connection is closed, until a configuration sets another.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
--- a/crates/core/src/direct/customers/keys.rs
+++ b/crates/core/src/direct/customers/keys.rs
@@ -8,7 +8,8 @@
 /// Longest key in bytes.
 pub const KEY_LIMIT: usize = 256;
 
-/// SHA-256 digest of a key. It replaces the key in everything that a process stores, logs and sends.
+/// SHA-256 digest of a key. It replaces the key in everything that a process stores, logs and sends; the key cannot
+/// be recovered from it.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct KeyDigest([u8; 32]);
 
--- a/crates/core/src/direct/demand.rs
+++ b/crates/core/src/direct/demand.rs
@@ -1,10 +1,10 @@
 //! Estimate of the demand for each adapter over the fleet, at one router.
 //!
 //! With thirty routers, each sees a thirtieth of an adapter's calls. That count times the number of routers is right
-//! on average, but useless for a single adapter: one recent call would count as twenty a second, and every rare adapter
-//! would get three copies. Loaders know all calls for the adapters of their engines, so their reported rates come
-//! first. A router's own count only adds adapters whose demand rose within the last moments, once it has seen several
-//! calls.
+//! on average, but useless for a single adapter: one recent call would count as twenty a second, and every rare
+//! adapter would get three copies. Loaders know all calls for the adapters of their engines, so their reported rates
+//! come first. A router's own count only adds adapters whose demand rose within the last moments, once it has seen
+//! several calls.
 
 use super::{
     call::AdapterId,
@@ -22,9 +22,9 @@
 const COUNT_LIMIT: usize = 4_096;
 /// Count at or below which an adapter is dropped when there are too many, and counts as unused.
 const COUNT_FLOOR: f64 = 0.1;
-/// Recent calls for an adapter at this router, apart from the current one, below which its own count is ignored. One or
-/// two may coincide by chance; multiplied by the number of routers, they would give a rare adapter as many copies as a
-/// busy one: with 68 routers, adapters of two calls a minute were loaded at five engines.
+/// Recent calls for an adapter at this router, apart from the current one, below which its own count is ignored. One
+/// or two may coincide by chance; multiplied by the number of routers, they would give a rare adapter as many copies
+/// as a busy one: with 68 routers, adapters of two calls a minute were loaded at five engines.
 const MIN_OWN_CALLS: f64 = 2.5;
 /// Unit of reported rates, in calls a second.
 const RATE_STEP: f64 = 0.1;
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -53,7 +53,7 @@
 
 /// Minimum pause between a router's probes of a lost store, if other routers would send it the changes.
 const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
-/// Minimum of the same pause for each router of a higher rank, so that few routers of a zone probe.
+/// The same pause lasts at least this long for each router of a higher rank, so that few routers of a zone probe.
 const POSITION_PAUSE: Duration = Duration::from_millis(250);
 
 /// Number of routers in the largest expected fleet.
--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -1,5 +1,5 @@
-//! Passive health checks: a target's recent failures, from the outcomes of its calls. Active health checks would cost a
-//! slot at the target, and pass while it fails part of its calls.
+//! Passive health checks: a target's recent failures, from the outcomes of its calls. Active health checks would cost
+//! a slot at the target, and pass while it fails part of its calls.
 
 use crate::ids::Timestamp;
 use std::time::Duration;
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -111,8 +111,8 @@
         self.refresh(now);
     }
 
-    /// Applies the limits of a newer configuration to all accounts at once. A request that carries the new number with an
-    /// old limit would make the meter apply the old limit to all routers.
+    /// Applies the limits of a newer configuration to all accounts at once. A request that carries the new number
+    /// with an old limit would make the meter apply the old limit to all routers.
     pub fn set_limits(&mut self, config: ConfigNumber, limits: &HashMap<LimitTag, UsageLimit>) {
         if config <= self.config {
             return;
@@ -378,8 +378,8 @@
 
     /// Pause after a refusal before this router tries the limit again; units are expected after `retry_after`.
     ///
-    /// Without the pause, hundreds of routers would send the meter a request for each call that could go to the target.
-    /// Without a meter, the pause is the shortest one, as a unit may be drawn at any time.
+    /// Without the pause, hundreds of routers would send the meter a request for each call that could go to the
+    /// target. Without a meter, the pause is the shortest one, as a unit may be drawn at any time.
     pub fn refusal_pause(&self, tag: LimitTag, retry_after: Duration) -> Duration {
         let account = self.accounts.get(&tag);
         let Some(account) = account.filter(|account| account.meter.is_some()) else {
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -202,8 +202,8 @@
         self.status = None;
     }
 
-    /// Resets the grants of a meter. The router learns the meter's count of earlier grants before it requests more, as it
-    /// may have alternated between this meter and another.
+    /// Resets the grants of a meter. The router learns the meter's count of earlier grants before it requests more,
+    /// as it may have alternated between this meter and another.
     pub(super) fn forget_grants(&mut self, enrolment: u64) {
         self.enrolment = enrolment;
         self.granted = None;
@@ -211,8 +211,8 @@
         self.pending = None;
     }
 
-    /// Refills the balance at the even rate while the router reaches no meter. It begins `ttl` after the last meter was
-    /// lost: until then the meters still count this router and grant its share.
+    /// Refills the balance at the even rate while the router reaches no meter. It begins `ttl` after the last meter
+    /// was lost: until then the meters still count this router and grant its share.
     pub(super) fn refill_meterless(&mut self, shares: &LimitShares, ttl: Duration, now: Timestamp) {
         let from = self.refilled.max(self.meterless_since + ttl);
         if self.meter.is_some() || now <= from {
--- a/crates/core/src/direct/limits/meter.rs
+++ b/crates/core/src/direct/limits/meter.rs
@@ -147,8 +147,8 @@
         self.limits.retain(|_, limit| now.saturating_sub(limit.used) < LIMIT_TTL);
     }
 
-    /// Refills all buckets, and counts the live routers by the set of meters that they reach. There are few such groups,
-    /// as most routers reach the same meters.
+    /// Refills all buckets, and counts the live routers by the set of meters that they reach. There are few such
+    /// groups, as most routers reach the same meters.
     ///
     /// A router that sent no report for `ttl` has used its share elsewhere. So a meter that was frozen or partitioned
     /// must not refill for that time when its routers are back.
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -17,8 +17,8 @@
 const MISSED_REPORTS: f64 = 2.5;
 /// Pause before an unanswered report is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(80);
-/// Time without an answer after which a meter counts as unreachable. Calls wait meanwhile; a host that has used up its
-/// CPU quota is throttled for up to 100 ms.
+/// Time without an answer after which a meter counts as unreachable. Calls wait meanwhile; a host that has used up
+/// its CPU quota is throttled for up to 100 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time for which a meter must answer before it is used again, so that it has reports of all its routers before it
 /// grants units.
--- a/crates/core/src/direct/limits/terms.rs
+++ b/crates/core/src/direct/limits/terms.rs
@@ -76,8 +76,8 @@
 const SLICE_SHARE: f64 = 0.25;
 /// Part of the tolerance that all routers together may use before their meters grant it.
 const CREDIT_SHARE: f64 = 0.1;
-/// Part of the tolerance by which one large call may exceed the units left. Up to this size, large and small calls have
-/// the same chance at an exhausted limit; without it a large call would wait for the bucket to fill while small
+/// Part of the tolerance by which one large call may exceed the units left. Up to this size, large and small calls
+/// have the same chance at an exhausted limit; without it a large call would wait for the bucket to fill while small
 /// ones keep it empty.
 const OVERDRAFT_SHARE: f64 = 0.15;
 /// Time after which units of a call that did not run are no longer refunded: they might be used again in a window
--- a/crates/core/src/direct/load_shedding.rs
+++ b/crates/core/src/direct/load_shedding.rs
@@ -23,8 +23,8 @@
 /// Expected latency, as a share of the objective, above which calls are refused. Run times vary by about half and
 /// waits vary more, so that most calls meet their objective at a mean of two thirds of it.
 const SHED_START: f64 = 0.45;
-/// Growth of the refused share with the latency above [`SHED_START`]. At twice the calls that can be served, the
-/// latency settles at 0.7 of the objective.
+/// Increase of the refused share with the latency above [`SHED_START`]: 0.1 of the objective more refuses
+/// 0.2 more of the calls. At twice the calls that can be served, the latency settles at 0.7 of the objective.
 const SHED_SLOPE: f64 = 2.0;
 /// Weight of a new sample of the number of calls in flight; a router takes one at each call, about ten a second.
 const CONCURRENCY_WEIGHT: f64 = 0.1;
--- a/crates/core/src/direct/loader/plan.rs
+++ b/crates/core/src/direct/loader/plan.rs
@@ -146,8 +146,8 @@
         })
     }
 
-    /// The adapter to evict: the one with the fewest calls, then with the least demand. One in use is evicted
-    /// only for a call that has waited for longer than [`EVICTION_PATIENCE`].
+    /// The adapter to evict: the one with the fewest calls that run or wait for it, then with the least recent
+    /// demand. One with such calls is evicted only for a call that has waited for longer than [`EVICTION_PATIENCE`].
     fn victim(
         &self,
         report: &EngineReport,
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -258,7 +258,7 @@
     let is_saturated = active >= spec.batch || used + wanted > spec.kv_tokens;
     // Queued calls start first, one for each run that ends.
     let runs_before = queued + u32::from(is_saturated);
-    // A saturated engine preempts calls when its KV cache is full, and processes their prompts again.
+    // An engine preempts calls when its KV cache is full, and processes their prompts again.
     let reprocessing = if is_saturated { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
     f64::from(active) * ACTIVE_MS
         + f64::from(runs_before) * pool.wait_estimates().batch_wait_ms(spec.batch)
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -83,8 +83,8 @@
 
     /// Applies another process's update if it is newer; returns whether the limit has changed.
     ///
-    /// An update with the known rate does not refresh `as_of`. Each hop makes an update seem slightly newer; if echoes
-    /// refreshed the limit, an end that the target has advertised meanwhile would seem older than the limit.
+    /// An update with the known rate does not refresh `as_of`. Each hop makes an update seem slightly newer; if
+    /// echoes refreshed the limit, an end that the target has advertised meanwhile would seem older than the limit.
     pub fn apply_update(&mut self, update: &LimitUpdate, now: Timestamp) -> bool {
         update.rate != self.rate && self.merge(update.known(now))
     }
@@ -185,7 +185,8 @@
         limit_updates(unknown.map(|(tag, entry)| (*tag, &entry.known)), now)
     }
 
-    /// Whether a router that enforces a limit at `rate` has its newest state; `None` if no target's limit has this tag.
+    /// Whether a router that enforces a limit at `rate` has its newest state; `None` if no target's limit has this
+    /// tag.
     pub fn is_newest(&self, tag: LimitTag, rate: f32) -> Option<bool> {
         let newest = self.limits.get(&tag)?.known.rate.map(enforced_rate);
         Some(newest.is_some_and(|newest| (newest as f32).to_bits() == rate.to_bits()))
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -67,8 +67,8 @@
         &self.config
     }
 
-    /// Applies a configuration if it is newer; returns whether it was. An older one may come from a peer that lags, and
-    /// must never undo a change that callers have seen in effect.
+    /// Applies a configuration if it is newer; returns whether it was. An older one may come from a peer that lags,
+    /// and must never undo a change that callers have seen in effect.
     pub fn take_config(&mut self, config: Arc<RouteConfig>) -> bool {
         if config.number <= self.config.number {
             return false;
@@ -187,8 +187,8 @@
         offers.collect()
     }
 
-    /// Applies a report of the loader on a host, unless it is older than the last one of the same start. Returns whether
-    /// it was applied.
+    /// Applies a report of the loader on a host, unless it is older than the last one of the same start. Returns
+    /// whether it was applied.
     pub fn take_report(&mut self, host: IpAddr, report: LoaderReport, now: Timestamp) -> bool {
         self.displace_others(host, &report.incarnation);
         let Some(target) = self.target_mut(&report.incarnation) else { return false };
@@ -216,7 +216,8 @@
         true
     }
 
-    /// A host runs one engine only: any other engine's entry with its address belongs to an incarnation that has ended.
+    /// A host runs one engine only: any other engine's entry with its address belongs to an incarnation that has
+    /// ended.
     fn displace_others(&mut self, host: IpAddr, incarnation: &TargetIncarnation) {
         let mut is_changed = false;
         for target in self.targets.values_mut() {
@@ -311,9 +312,9 @@
         }
     }
 
-    /// Marks all but the latest incarnation at each address as superseded: an older one cannot listen there any more, but
-    /// its entry may stay in the list for long, and lists arrive in any order. An incarnation that was displaced does not
-    /// supersede others.
+    /// Marks all but the latest incarnation at each address as superseded: an older one cannot listen there any more,
+    /// but its entry may stay in the list for long, and lists arrive in any order. An incarnation that was displaced
+    /// by another one's answer at its address does not supersede others.
     fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
         // An entry of a service that is not configured was not written by a target.
--- a/crates/core/src/direct/targets/advertised.rs
+++ b/crates/core/src/direct/targets/advertised.rs
@@ -23,8 +23,8 @@
         self.update_advertised(incarnation, |advertised| advertised.record_backoff(backoff, now))
     }
 
-    /// Time until the first target of the service ends its backoff; `None` if a live one accepts requests now, or none is
-    /// live.
+    /// Time until the first target of the service ends its backoff; `None` if a live one accepts requests now, or
+    /// none is live.
     pub fn backoff_left(&self, service: &str, now: Timestamp) -> Option<Duration> {
         let alive = self.service_targets(service).filter(|target| {
             !target.is_draining() && !target.has_ended() && !target.is_unresponsive(now)
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -170,8 +170,8 @@
     }
 }
 
-/// Guards against a target's draining or backoff being undone by an older list, a report, the expiry of its entry or an
-/// outage of the store.
+/// Guards against a target's draining or backoff being undone by an older list, a report, the expiry of its entry or
+/// an outage of the store.
 #[test]
 fn late_updates_do_not_undo_advertised_state() {
     let mut chosen = 0;
@@ -251,8 +251,8 @@
     assert_eq!(advertised.backoff_until, ms(4_000) + MAX_BACKOFF);
 }
 
-/// Guards against callers that get too short a time to retry after, or wait for a base model, while all targets back off,
-/// and against callers that get a long one although a target accepts requests.
+/// Guards against callers that get too short a time to retry after, or wait for a base model, while all targets back
+/// off, and against callers that get a long one although a target accepts requests.
 #[test]
 fn callers_retry_when_the_first_backoff_ends() {
     let mut pool = super::support::pool();
--- a/crates/core/tests/core/direct/budget.rs
+++ b/crates/core/tests/core/direct/budget.rs
@@ -43,8 +43,8 @@
     QuickCheck::new().tests(300).quickcheck(property as fn(Vec<(u8, u16)>) -> bool);
 }
 
-/// All routers are killed at once while targets refuse everything, and restart without knowing the others or their own
-/// earlier retries. If each used the full slack again, the fleet would exceed its allowance several times over,
+/// All routers are killed at once while targets refuse everything, and restart without knowing the others or their
+/// own earlier retries. If each used the full slack again, the fleet would exceed its allowance several times over,
 /// while everything is cold.
 #[test]
 fn restarted_routers_get_no_additional_slack() {
--- a/crates/core/tests/core/direct/customers/limits.rs
+++ b/crates/core/tests/core/direct/customers/limits.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// A customer sends ten times its limit. Guards against more runs in a window than limit and tolerance, against unused
-/// units, and against large calls that are starved by small ones or the reverse.
+/// A customer sends ten times its limit. Guards against more runs in a window than limit and tolerance, against
+/// unused units, and against large calls that are starved by small ones or the reverse.
 #[test]
 fn a_customer_far_beyond_its_limit_gets_its_limit() {
     let limit = limit(50_000.0, 50_000.0);
@@ -112,8 +112,8 @@
     assert!(large > small / 2.0 && small > large / 2.0, "large {large:.3}, small {small:.3}");
 }
 
-/// Two of six meters stop answering, one of them permanently. Guards against refusals for longer than the routers need
-/// to switch to the next meter.
+/// Two of six meters stop answering, one of them permanently. Guards against refusals for longer than the routers
+/// need to switch to the next meter.
 #[test]
 fn a_silent_meter_is_replaced_at_once() {
     let limit = limit(50_000.0, 50_000.0);
@@ -131,8 +131,8 @@
     }
 }
 
-/// There is no meter. Guards against refusing every call that costs more than a router's slice: it must be admitted out
-/// of the router's even share, or a customer with large calls would get nothing until a meter is back.
+/// There is no meter. Guards against refusing every call that costs more than a router's slice: it must be admitted
+/// out of the router's even share, or a customer with large calls would get nothing until a meter is back.
 #[test]
 fn a_router_without_a_meter_serves_an_even_share() {
     let limit = limit(50_000.0, 50_000.0);
--- a/crates/core/tests/core/direct/demand.rs
+++ b/crates/core/tests/core/direct/demand.rs
@@ -17,9 +17,10 @@
     rate: Range<f64>,
 }
 
-/// Thirty routers get the calls for thousands of rare adapters, a few calls a minute each. When one recent call counted
-/// as a thirtieth of the demand, every rare adapter got three copies: twice the loads, and fewer slots for adapters in
-/// demand. An adapter whose demand rises suddenly must still get copies before any loader has reported it.
+/// Thirty routers get the calls for thousands of rare adapters, a few calls a minute each. When one recent call
+/// counted as a thirtieth of the demand, every rare adapter got three copies: twice the loads, and fewer slots for
+/// adapters in demand. An adapter whose demand rises suddenly must still get copies before any loader has reported
+/// it.
 #[test]
 fn rare_adapters_get_one_copy_and_sudden_ones_several() {
     let cases = [
@@ -115,8 +116,8 @@
     assert!(demand.wanted(5.0, 2, ms(0)).is_empty());
 }
 
-/// Thirty routers learn of an adapter in demand, and one of them has calls for it. If all maintained its copies, their
-/// load requests would grow with the number of routers times that of adapters.
+/// Thirty routers learn of an adapter in demand, and one of them has calls for it. If all maintained its copies,
+/// their load requests would grow with the number of routers times that of adapters.
 #[test]
 fn only_routers_with_calls_for_an_adapter_maintain_its_copies() {
     let mut demand = FleetDemand::default();
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -104,8 +104,8 @@
     used: f64,
 }
 
-/// Guards against hundreds of routers that each enforce the limit alone or round their shares: together they would send
-/// many times what the target accepts, or almost nothing.
+/// Guards against hundreds of routers that each enforce the limit alone or round their shares: together they would
+/// send many times what the target accepts, or almost nothing.
 #[test]
 fn hundreds_of_routers_use_one_limit() {
     let case = |name, routers, meters, rate, calls, used| FleetCase {
@@ -181,8 +181,8 @@
     ))
 }
 
-/// Guards against a target that gets more than its limit while routers and meters restart, freeze, are partitioned and
-/// lose messages. `LIMIT_PLAYS=5000` runs 5,000 random seeds instead of the fixed ones.
+/// Guards against a target that gets more than its limit while routers and meters restart, freeze, are partitioned
+/// and lose messages. `LIMIT_PLAYS=5000` runs 5,000 random seeds instead of the fixed ones.
 #[test]
 fn no_window_ever_holds_more_than_a_target_takes() {
     fn property(seed: u64) -> bool {
