--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -9,7 +9,7 @@
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
 /// Answered calls that every target is credited with, so that a single failure weighs little.
 const PRIOR_CALLS: f64 = 4.0;
-/// First backoff after a failed connection.
+/// First backoff after [`CallOutcome::Silent`]; it doubles each time until a call gets an answer or fails otherwise.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest backoff. The list lags: it drops a target about four seconds after the target's end.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -19,7 +19,7 @@
     pub is_signed: bool,
     /// Whether the target declares that it did not run the call.
     pub declares_not_run: bool,
-    /// Id of the target's incarnation that answered; `None` if the answer does not state it.
+    /// Id of the target that answered; `None` if the answer does not state it.
     pub instance: Option<InstanceId>,
     /// Limit on calls that the target advertises.
     pub limit: AdvertisedLimit,
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -8,12 +8,12 @@
 use super::messages::LoaderReport;
 use std::time::Duration;
 
-/// Initial load time in ms from the weight store, until the first reports replace it.
+/// Initial mean in ms of the time of a load from the weight store; loaders' reports replace it gradually.
 const PRIOR_LOAD_MS: f64 = 250.0;
 /// Weight of a new report in the means: a router receives some ten reports a second, and the fleet's load changes
 /// within about a second.
 const REPORT_WEIGHT: f64 = 0.1;
-/// Initial run time in ms, until the first runs replace it.
+/// Initial mean in ms of the time of a run; completed runs replace it gradually.
 const PRIOR_RUN_MS: f64 = 400.0;
 /// Weight of a new run in the mean: a router completes some ten a second, long and short ones.
 const RUN_WEIGHT: f64 = 0.05;
