--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -153,13 +153,13 @@
         match (self.source, self.listed_at) {
             (StoreSource::Router, _) if is_first => Some("this router is at the head of the line"),
             (StoreSource::Router, _) if is_past(view.synced_at, own_share) => {
-                Some("no other router has sent recent enough state")
+                Some("no other router has told enough")
             }
             (StoreSource::Undecided, Some(at)) if is_first && is_past(at, FIRST_SETTLE_SHARE) => {
                 Some("this router is at the head of the line")
             }
             (StoreSource::Undecided, Some(at)) if is_past(at, SETTLE_SHARE) => {
-                Some("no other router has sent state")
+                Some("no other router has told")
             }
             _ => None,
         }
