--- a/crates/core/src/agent/loads.rs
+++ b/crates/core/src/agent/loads.rs
@@ -12,9 +12,10 @@
 const INITIAL_LOAD_TIME: Duration = Duration::from_millis(800);
 /// Number of failed loads of one adapter after which the requests that wait for it are refused.
 const ATTEMPT_LIMIT: u32 = 2;
-/// Pause after a failed load.
+/// Pause after a failed load before a permit for the same load is requested again.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after the weight store was busy; doubled with each further refusal of the same load.
+/// Pause before a load is tried again that the busy weight store refused; doubled with each further
+/// refusal of the same load.
 const BUSY_PAUSE: Duration = Duration::from_millis(250);
 /// Upper bound of the pause after the weight store was busy.
 const BUSY_PAUSE_LIMIT: Duration = Duration::from_secs(4);
@@ -25,7 +26,7 @@
     Wanted(Timestamp),
     /// A permit is requested and not granted yet.
     PermitRequested,
-    /// A permit is held.
+    /// The permit is granted, and the engine was not ordered to load the adapter yet.
     Permitted,
     /// The engine was ordered to load it at this time.
     Started(Timestamp),
--- a/crates/core/src/agent/queue.rs
+++ b/crates/core/src/agent/queue.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// A queue by priority, fair among callers within a priority, first come first served within both.
+/// A queue of requests, ordered by priority. Within a priority it is fair among callers, and the
+/// requests of one caller are served in the order of their arrival.
 ///
 /// Fairness is start-time fair queueing: each started request advances its caller's virtual time by
 /// `1 / share`, and the caller with the least virtual time goes next. Scans are linear; the queue
--- a/crates/core/src/agent/residency.rs
+++ b/crates/core/src/agent/residency.rs
@@ -117,7 +117,7 @@
         self.thrash
     }
 
-    /// Number of evictions ordered.
+    /// Number of evictions that the agent has ordered from the engine.
     pub fn evictions(&self) -> u64 {
         self.evictions
     }
--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Sets the number of routers, and the targets whose loaders run meters.
+    /// Sets the number of routers, and the targets whose loaders run meters. A meter is the central rate limiter of a
+    /// limit; it grants units to all routers.
     pub fn set_fleet(&mut self, fleet: FleetSize, targets: Vec<InstanceId>, now: Timestamp) {
         self.fleet = fleet;
         self.meters.set_targets(targets, now);
--- a/crates/core/src/direct/limits/messages.rs
+++ b/crates/core/src/direct/limits/messages.rs
@@ -93,7 +93,7 @@
     pub left: f32,
     /// Units a second that the meter grants to all its routers together.
     pub rate: f32,
-    /// Whether the meter has served this limit long enough for all its routers to have switched to it; before that,
-    /// `left` is unreliable.
+    /// Whether the meter has granted units of this limit long enough for all routers to have switched to this meter.
+    /// Until then the value of `left` is unreliable.
     pub is_settled: bool,
 }
--- a/crates/core/src/direct/limits/meters.rs
+++ b/crates/core/src/direct/limits/meters.rs
@@ -114,7 +114,7 @@
 }
 
 impl MeterTable {
-    /// Sets the targets whose loaders run meters.
+    /// Sets the targets whose loaders run meters, the central rate limiters that grant units to routers.
     pub fn set_targets(&mut self, targets: Vec<InstanceId>, now: Timestamp) {
         self.known_since = if targets.is_empty() { None } else { self.known_since.or(Some(now)) };
         self.links.retain(|link| targets.contains(&link.target));
--- a/crates/core/src/direct/limits/terms.rs
+++ b/crates/core/src/direct/limits/terms.rs
@@ -26,7 +26,7 @@
     pub unit: UsageUnit,
     /// Units a second.
     pub rate: f64,
-    /// Units that may be used at once beyond the rate.
+    /// Units of the limit that may be used at once, in addition to those that `rate` allows over time.
     pub burst: f64,
 }
 
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Applies one change.
+    /// Adds, replaces or removes the entry that the change is about.
     pub fn apply(&mut self, change: &ListChange, now: Timestamp) {
         match change {
             ListChange::Put(entry) => self.put(Arc::clone(entry)),
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -18,7 +18,7 @@
 
 /// Cost of each call that an engine runs: each adds 0.02 ms to a step, over about 70 steps.
 const ACTIVE_MS: f64 = 1.4;
-/// Mean share of the load time that is left for an adapter that is being loaded already.
+/// Fraction of the load time that remains, on average, for an adapter whose load is already under way.
 const LOADING_SHARE: f64 = 0.5;
 /// Extra cost of a load at a target that is not preferred, as a multiple of a load from the weight store. The store
 /// transfers the adapter once more, while the preferred target's host may have it in memory, and later calls to the
--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -24,8 +24,9 @@
 /// Rounds of changes that are kept. Routers query several times a second; one that is further behind was
 /// disconnected and needs a snapshot.
 const LOG_LENGTH: usize = 32;
-/// Maximum of hints in one answer. Engines' entries change with every adapter that is loaded or unloaded, so
-/// that hints would grow with the engines; without them a router requests the report of an engine's loader.
+/// Maximum number of hints in one answer. An engine's entry changes with every adapter that is loaded or unloaded,
+/// so without a limit the number of hints would grow with the number of engines. A router that gets no hint about an
+/// engine requests a report from that engine's loader.
 const HINT_LIMIT: usize = 32;
 
 /// A change of an object in the store; it holds the whole object, so only the latest one matters.
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -135,24 +135,24 @@
         self.crashes.expire(now)
     }
 
-    /// All reports of crashes, as changes.
+    /// Snapshot of all crash reports, encoded as one change per report.
     pub fn crash_snapshot(&self) -> Vec<SharedChange> {
         self.crashes.iter().cloned().map(SharedChange::Crashes).collect()
     }
 
-    /// The configuration, as a change.
+    /// Snapshot of the configuration, encoded as one change; empty if there is none yet.
     pub fn config_snapshot(&self) -> Vec<SharedChange> {
         let config = self.config.iter();
         config.map(|config| SharedChange::Config(Arc::new(ConfigRecord::new(config)))).collect()
     }
 
-    /// All targets, as changes.
+    /// Snapshot of all targets, encoded as one [`ListChange::Put`] per target.
     pub fn target_snapshot(&self) -> Vec<SharedChange> {
         let entries = self.targets.values().cloned();
         entries.map(|entry| SharedChange::Target(ListChange::Put(entry))).collect()
     }
 
-    /// Newest versions of all adapters, as changes.
+    /// Snapshot of the newest versions of all adapters, encoded as one change per adapter.
     pub fn release_snapshot(&self) -> Vec<SharedChange> {
         let releases = self.releases.iter().map(|(adapter, version)| AdapterRelease {
             adapter: adapter.clone(),
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -239,7 +239,8 @@
         self.demand.record(adapter, now);
     }
 
-    /// Samples the number of this router's calls at a service's targets, as a new call arrives.
+    /// Adds a sample of the number of this router's calls in flight at a service's targets; called when a new call
+    /// arrives.
     pub fn record_concurrency(&mut self, service: &ServiceName) {
         let in_flight = self.service_targets(service).map(|target| target.in_flight).sum();
         self.concurrency.entry(Arc::clone(service)).or_default().record(in_flight);
@@ -296,7 +297,8 @@
         }
     }
 
-    /// Records that a call no longer uses its adapter; returns whether no other call of this router uses it there.
+    /// Records that a call no longer uses its adapter at a target. Returns whether no other call of this router uses
+    /// the adapter at this target.
     pub fn use_ended(&mut self, incarnation: &TargetIncarnation, adapter: &AdapterId) -> bool {
         let counts = self.target_mut(incarnation).and_then(|target| target.uses.get_mut(adapter));
         let Some(counts) = counts else { return false };
--- a/crates/core/src/direct/waits.rs
+++ b/crates/core/src/direct/waits.rs
@@ -22,7 +22,8 @@
 /// about this often.
 const SLOT_MS: f64 = 60.0;
 
-/// Means over the reports of all loaders and this router's runs at all engines, in milliseconds.
+/// Running means, in milliseconds, over all engines. The mean time of a run comes from this router's own calls, the
+/// mean times of loads and waits from the loaders' reports.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitEstimates {
     run: f64,
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -36,7 +36,7 @@
 pub struct IdempotencyRecord {
     /// The entry that may run the request.
     pub entry: String,
-    /// Random id of the only request that may run.
+    /// Random id of the request that recorded the key; no other request with this key may run.
     pub operation: String,
     /// Time at which it was recorded, in milliseconds of Unix time.
     pub inserted_ms: u64,
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -23,7 +23,8 @@
     pub kind: TargetKind,
     /// Address of its agent.
     pub peer: SocketAddr,
-    /// Grows with each process that takes the target's slot; also the fencing number of its orders.
+    /// Incremented each time a new process takes the target's slot. Also the fencing number of the
+    /// orders that this process sends to the engine.
     pub epoch: u64,
     /// Region of the target.
     pub region: RegionName,
--- a/crates/core/tests/core/crashes.rs
+++ b/crates/core/tests/core/crashes.rs
@@ -129,10 +129,10 @@
     assert!(!second.record_survival(poll, now), "it has no crash left to clear");
 }
 
-/// Callers poll a path many times a second while another request ends three targets, each with a poll in
-/// flight. The ends are detected only seconds later, when the targets leave the list, and all three crashes
-/// are reported at once. Polls have completed in the meantime, at the sender or at the receiver of the report.
-/// Neither router may quarantine the polls.
+/// Guards against the quarantine of a harmless call that was in flight at three targets when another request
+/// crashed them. The crashes are detected seconds later, when the targets leave the list, and are reported
+/// together. Meanwhile equal calls, which callers send many times a second, have completed at the router that
+/// sends the report or at the one that receives it. Neither router may quarantine the call.
 #[test]
 fn a_recently_completed_call_is_no_suspect() {
     let poll = POISON;
--- a/crates/core/tests/core/direct/advertised_state.rs
+++ b/crates/core/tests/core/direct/advertised_state.rs
@@ -92,7 +92,8 @@
         TargetIncarnation { id: id.into(), started: Some(self.starts[id]) }
     }
 
-    /// An entry of the current incarnation or the one before it, which does not drain.
+    /// Returns an entry of the target that does not drain. One in ten is of the previous incarnation, the others of
+    /// the current one.
     fn entry(&mut self, (id, service, port): (&str, &str, u16)) -> Arc<TargetEntry> {
         let incarnation = self.incarnation(id);
         let is_old = self.random.random_bool(0.1);
--- a/crates/core/tests/core/direct/customers/ways.rs
+++ b/crates/core/tests/core/direct/customers/ways.rs
@@ -147,7 +147,8 @@
         self.version += 1;
         let waiting: f64 = router.waiting.iter().map(|(_, cost)| f64::from(*cost)).sum();
         let left = self.bucket.refill(shares.rate, shares.capacity, ms(self.now_ms));
-        // A lease covers what a router uses in a second, so that there are few writes.
+        // A lease covers the waiting calls. To keep writes few, it adds a second's use of one of 21 routers that
+        // share the limit evenly; the smaller of the two fleets has 21 routers.
         let wanted = waiting - router.balance + shares.rate / 21.0;
         let units = wanted.min(left).max(0.0);
         self.bucket.take(units);
--- a/crates/core/tests/core/direct/sharing.rs
+++ b/crates/core/tests/core/direct/sharing.rs
@@ -72,6 +72,7 @@
         self.0[revision as usize..].to_vec()
     }
 
+    /// The list of targets as of `revision`.
     fn list_at(&self, revision: u64) -> BTreeMap<InstanceId, u64> {
         let mut list = BTreeMap::new();
         apply(&mut list, &self.0[..revision as usize]);
--- a/crates/core/tests/core/direct/target_limit.rs
+++ b/crates/core/tests/core/direct/target_limit.rs
@@ -22,6 +22,7 @@
 /// Window over which a limit must hold.
 const WINDOW: Duration = Duration::from_secs(4);
 
+/// An answer that advertises a limit, and the rate that the router must enforce after it.
 struct AnswerStep {
     advertised: AdvertisedLimit,
     sent: Duration,
--- a/crates/daemon/src/agent/permits.rs
+++ b/crates/daemon/src/agent/permits.rs
@@ -181,8 +181,8 @@
         None
     }
 
-    /// Requests a permit from the first reachable entry in rendezvous order. The permit is held while the
-    /// returned stream is open.
+    /// Requests a load permit from the first reachable entry in rendezvous order. The agent holds the
+    /// permit as long as the returned stream is open.
     async fn request_from_broker(
         &self,
         request: &PermitRequest,
--- a/crates/daemon/src/agent/platform.rs
+++ b/crates/daemon/src/agent/platform.rs
@@ -313,6 +313,7 @@
 }
 
 impl PresetFollower {
+    /// Applies the preset that a new configuration root names.
     async fn apply_root(&self, root: ConfigRoot, state: &mut PresetState) {
         let is_same = root.preset == state.root.preset
             && root.parts.get(PRESETS_PART) == state.root.parts.get(PRESETS_PART);
--- a/crates/daemon/src/entry/broker.rs
+++ b/crates/daemon/src/entry/broker.rs
@@ -35,7 +35,7 @@
     time::timeout,
 };
 
-/// Longest pause between two checks of the pool.
+/// Longest pause between two checks of the pool of load permits.
 const MAX_CHECK_PAUSE: Duration = Duration::from_secs(1);
 
 struct BrokerState {
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -33,7 +33,7 @@
     time::{sleep_until, timeout},
 };
 
-/// Largest number of offers of one request, including the first.
+/// Largest number of times that an entry offers one request to agents, including the first.
 const OFFER_LIMIT: usize = 4;
 /// Number of offers, each of which may have run the request and ended without a result, after which
 /// an idempotent request fails. A request that crashes its targets would crash one with each offer,
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -77,7 +77,7 @@
 pub struct AgentSettings {
     /// Settings that entries and agents have in common.
     pub common: CommonSettings,
-    /// Address for entries.
+    /// Address at which the agent listens for entries.
     pub listen: SocketAddr,
     /// Address at which entries reach the slot.
     pub announce: SocketAddr,
--- a/crates/daemon/src/router/advertised_state.rs
+++ b/crates/daemon/src/router/advertised_state.rs
@@ -25,7 +25,8 @@
         self.pool.borrow().backoff_left(service, clock::now())
     }
 
-    /// Records the state that an answer advertises of the target that the call was sent to.
+    /// Records the state that a target advertised in its answer to a call. `incarnation` is the target that the call
+    /// was sent to.
     pub(crate) fn record_advertised_state(
         &self,
         incarnation: &TargetIncarnation,
--- a/crates/daemon/src/router/constants.rs
+++ b/crates/daemon/src/router/constants.rs
@@ -58,10 +58,10 @@
 pub(crate) const NOTICE_POLL_PAUSE: Duration = Duration::from_millis(50);
 /// Interval at which a router sends its presence to loaders; they expire it after five intervals.
 pub(crate) const PRESENCE_PAUSE: Duration = Duration::from_secs(1);
-/// The same for the first [`EARLY_PRESENCES`] presences: routers that start together must know each other before they
-/// choose which of them reads the store.
+/// Interval between the first [`EARLY_PRESENCES`] presences: routers that start together must know each other before
+/// they choose which of them reads the store.
 pub(crate) const EARLY_PRESENCE_PAUSE: Duration = Duration::from_millis(200);
-/// Presences after a router's start that are sent at the shorter interval.
+/// Number of presences after a router's start that are sent every [`EARLY_PRESENCE_PAUSE`].
 pub(crate) const EARLY_PRESENCES: usize = 5;
 /// Longest wait of a call for one requested report, after which it checks whether the loader has become silent.
 pub(crate) const REPORT_WAIT: Duration = Duration::from_millis(40);
--- a/crates/daemon/src/router/control/context.rs
+++ b/crates/daemon/src/router/control/context.rs
@@ -248,7 +248,8 @@
         }
     }
 
-    /// Waits until [`Self::bootstrap_upstream`] is known; never returns if none appears within [`BOOTSTRAP_TIME`].
+    /// Waits until [`Self::bootstrap_upstream`] is known. If none appears within [`BOOTSTRAP_TIME`], the future stays
+    /// pending forever, so it is only awaited beside a timeout.
     pub(in crate::router) async fn wait_for_bootstrap_upstream(&self) {
         let mut peers = self.peers.clone();
         while self.bootstrap_upstream().is_none() {
@@ -425,12 +426,12 @@
         &self.store_regained
     }
 
-    /// Whether the state is complete and all kinds are followed.
+    /// Whether the state is complete and the objects of all kinds in the store are followed.
     pub(in crate::router) fn is_current(&self) -> bool {
         self.lost_kinds.get() == 0 && self.state.borrow().is_complete()
     }
 
-    /// Whether the state is incomplete, or at least one kind cannot be followed now.
+    /// Whether the state is incomplete, or the objects of at least one kind in the store cannot be followed now.
     pub(in crate::router) fn is_lost(&self) -> bool {
         self.lost_kinds.get() > 0 || !self.state.borrow().is_complete()
     }
@@ -442,7 +443,7 @@
         let _ = self.events.send(event).await;
     }
 
-    /// The full state of a kind, as changes.
+    /// Snapshot of all objects of a kind, encoded as one change per object.
     pub(in crate::router) fn kind_snapshot(&self, kind: FollowedKind) -> Vec<SharedChange> {
         let state = self.state.borrow();
         match kind {
--- a/crates/daemon/src/router/crash_updates.rs
+++ b/crates/daemon/src/router/crash_updates.rs
@@ -30,9 +30,10 @@
 /// Batching pause after a write: a target that ends breaks all of its calls within a few ms. With the round trips to
 /// the store and to the other routers, an update takes about 0.3 s of the 3 s in which it must reach all routers.
 const GATHER_PAUSE: Duration = Duration::from_millis(200);
-/// Shortest pause after a failed write.
+/// Pause after the first failed write of the report; also the interval at which a starting router checks whether the
+/// store has answered.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after failed writes; bounds how long updates wait once the store is reachable again.
+/// Longest pause after repeated failed writes; bounds how long updates wait once the store is reachable again.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// Time over which routers that start together spread their first reports: each write is sent to all watchers.
 const START_SPREAD: Duration = Duration::from_secs(1);
--- a/crates/daemon/src/router/follow.rs
+++ b/crates/daemon/src/router/follow.rs
@@ -26,7 +26,7 @@
 /// Time for which a watch waits at the store. Keep-alive probes detect a dead connection much earlier, so this
 /// only bounds the number of calls.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// The same for a watch that checks whether the store is reachable again.
+/// Time for which a watch waits at the store if it only checks whether the store is reachable again.
 const PROBE_WAIT: Duration = Duration::from_millis(1);
 /// Timeout for an answer of the store, added to the wait of the watch itself.
 const ANSWER_SLACK: Duration = Duration::from_millis(1_500);
@@ -36,8 +36,8 @@
 /// changes once per heartbeat while adapters are loaded and unloaded, and each answer of the store is a call that
 /// costs. The remaining time covers the watch itself and the calls in flight.
 const GATHER_SHARE: f64 = 0.55;
-/// The same for a router that other routers may follow. With [`UPSTREAM_WAIT_SHARE`] the store answers it at least
-/// once every 0.65 of the drain time, before its followers look for another upstream.
+/// [`GATHER_SHARE`] of a router that other routers may follow. With [`UPSTREAM_WAIT_SHARE`] the store answers it at
+/// least once every 0.65 of the drain time, before its followers look for another upstream.
 const UPSTREAM_GATHER_SHARE: f64 = 0.45;
 /// Share of the drain time for which a watch of the list waits at a router that other routers may follow.
 const UPSTREAM_WAIT_SHARE: f64 = 0.2;
@@ -53,9 +53,10 @@
 /// Largest number of log lines about undecodable objects per page: other programs may write hundreds of such objects,
 /// and each page would log them all again.
 const FAULT_LINES: usize = 5;
-/// Shortest pause after a failed call.
+/// Pause after the first failed call to the store.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause after failed calls; bounds how late it is noticed that the store is reachable again.
+/// Longest pause after repeated failed calls to the store; bounds how late the router notices that the store is
+/// reachable again.
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 /// Longest time for which another kind's follower waits for the configuration's follower to reach the store again.
 const MAX_REGAIN_WAIT: Duration = Duration::from_secs(3);
--- a/crates/daemon/src/router/peers.rs
+++ b/crates/daemon/src/router/peers.rs
@@ -33,20 +33,20 @@
 
 /// Path at which a router serves a snapshot of its state.
 const SNAPSHOT_PATH: &str = "/snapshot";
-/// The same for a starting router: the answer waits for what the queried router is still reading.
+/// Path of the snapshot for a starting router: the answer waits until the queried router has read the store.
 const BOOTSTRAP_PATH: &str = "/first-snapshot";
 /// Status if the queried router is still reading the store.
 const NOT_YET: StatusCode = StatusCode::GATEWAY_TIMEOUT;
 /// Pause between queries to peers while the store is unreachable: a configuration must be in force within two
 /// seconds.
 const FETCH_PAUSE: Duration = Duration::from_millis(400);
-/// The same for queries to the bootstrap upstream.
+/// Pause between queries to the bootstrap upstream.
 const BOOTSTRAP_PAUSE: Duration = Duration::from_millis(10);
 /// Timeout for a peer's answer.
 const FETCH_LIMIT: Duration = Duration::from_millis(400);
-/// The same for the bootstrap upstream, which sends the full list to several routers at once.
+/// Timeout for the bootstrap upstream's answer; longer, as it sends the full list to several routers at once.
 const BOOTSTRAP_LIMIT: Duration = Duration::from_millis(800);
-/// Time for which an answer waits while the store is being read.
+/// Maximum time by which an answer to a starting router is delayed while this router still reads the store.
 const READ_WAIT: Duration = Duration::from_millis(150);
 /// Time after the start before peers are queried, in which the store may answer.
 const START_PAUSE: Duration = Duration::from_millis(250);
--- a/crates/daemon/src/router/relay.rs
+++ b/crates/daemon/src/router/relay.rs
@@ -1,4 +1,4 @@
-//! Relays the bodies of successes to callers: plain ones after they are complete, streams event by event.
+//! Relays the bodies of successful answers to callers: a plain body once it is complete, a stream event by event.
 
 use super::{
     constants,
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -32,7 +32,7 @@
 /// frozen upstream goes unnoticed: half a second. Even with the batching pause of the router that watches the store and
 /// one call to the store, that is less than the time in which a draining target must be known.
 const WAIT_LIMIT: Duration = Duration::from_millis(300);
-/// Timeout for an answer, added to that wait.
+/// Timeout for the upstream's answer, in addition to [`WAIT_LIMIT`].
 const ANSWER_LIMIT: Duration = Duration::from_millis(200);
 /// Pause before the next query after a failed one. The store cuts all watches when it drops its history, and the
 /// upstream follows it again within about this time.
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -11,7 +11,7 @@
 use std::{marker::PhantomData, time::Duration};
 use tokio::time::sleep;
 
-/// First pause after a failed platform call.
+/// Pause after the first failed platform call.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
 /// Longest pause after failed platform calls.
 const FAILED_PAUSE_LIMIT: Duration = Duration::from_secs(5);
--- a/crates/net/src/config_store.rs
+++ b/crates/net/src/config_store.rs
@@ -16,7 +16,7 @@
 
 /// Maximum attempts to read back a root whose write got no answer, and maximum attempts to write a part.
 const READ_BACK_ATTEMPTS: u32 = 20;
-/// Pause between these attempts.
+/// Pause between two attempts to read back a root or to write a part.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(250);
 
 /// A change that is in force.
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -11,7 +11,7 @@
 
 /// Number of adapters.
 const ADAPTERS: usize = 200;
-/// A request is sent to every adapter whose index is a multiple of this.
+/// The demo sends a request to each adapter whose index is a multiple of this number.
 const ADAPTER_STEP: usize = 17;
 /// Tokens of each answer.
 const TOKENS: u32 = 12;
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,5 +1,8 @@
 //! Fault run: a test cluster under load with seeded faults. The outcomes that callers saw are then
 //! checked against the records of the stand-ins.
+//!
+//! A stamp is a call of `POST /stamps` at the plain service `desk`. It is not idempotent: it must run
+//! at most once.
 
 pub mod draw;
 pub mod ledger;
--- a/crates/standin/src/faults/traffic.rs
+++ b/crates/standin/src/faults/traffic.rs
@@ -1,5 +1,8 @@
 //! Load of a fault run: callers, an operator that changes the configuration, and an observer of the
 //! entries.
+//!
+//! A stamp is a call of `POST /stamps` at the plain service `desk`. It is not idempotent: it must run
+//! at most once.
 
 use super::{
     SharedCluster, draw_pause,
--- a/crates/standin/tests/integration/idempotency.rs
+++ b/crates/standin/tests/integration/idempotency.rs
@@ -1,5 +1,8 @@
 //! A service call with an idempotency key runs at most once, however often and at whichever entry
 //! it is retried.
+//!
+//! A stamp is a call of `POST /stamps` at the plain service `desk`. It is not idempotent: it must run
+//! at most once.
 
 use crate::support::{finish, send_and_check, start};
 use bytes::Bytes;
--- a/crates/standin/tests/integration/import.rs
+++ b/crates/standin/tests/integration/import.rs
@@ -10,7 +10,7 @@
 
 /// Number of imported adapters.
 const ADAPTERS: usize = 3_000;
-/// A request is sent to every adapter whose index is a multiple of this: 50 in all.
+/// The test sends a request to each adapter whose index is a multiple of this number: 50 requests.
 const STEP: usize = 60;
 
 #[tokio::test]
--- a/crates/standin/tests/integration/services.rs
+++ b/crates/standin/tests/integration/services.rs
@@ -1,4 +1,7 @@
 //! Calls of plain services, including calls that must run at most once.
+//!
+//! A stamp is a call of `POST /stamps` at the plain service `desk`. It is not idempotent: it must run
+//! at most once.
 
 use crate::support::{finish, start};
 use bytes::Bytes;
--- a/crates/standin/tests/integration/support.rs
+++ b/crates/standin/tests/integration/support.rs
@@ -1,4 +1,7 @@
 //! Helpers shared by the integration tests.
+//!
+//! A stamp is a call of `POST /stamps` at the plain service `desk`. It is not idempotent: it must run
+//! at most once.
 
 use eyre::{Result, ensure};
 use plantain_standin::{
