--- a/crates/core/src/agent/admission.rs
+++ b/crates/core/src/agent/admission.rs
@@ -82,7 +82,7 @@
         Refusal::new(RefusalReason::TargetDown).with_retry_after(left.max(RETRY_AFTER_FLOOR))
     }
 
-    /// Expected time until the target could start such a request.
+    /// Expected time until the target could start a request for `item`.
     fn expected_start(&self, item: &WorkItem, now: Timestamp) -> Duration {
         let limit = self.options.batch_limit.max(1);
         let ahead = (self.queued() + self.running + 1).saturating_sub(limit);
--- a/crates/core/src/burn.rs
+++ b/crates/core/src/burn.rs
@@ -31,11 +31,11 @@
     pub availability: f64,
     /// Limit of the time to the first byte, in milliseconds.
     pub first_byte_ms: u64,
-    /// Share of answered requests whose first byte arrives within that limit.
+    /// Share of answered requests whose first byte arrives within `first_byte_ms`.
     pub first_byte_share: f64,
     /// Limit of the load stall, in milliseconds.
     pub load_stall_ms: u64,
-    /// Share of answered requests that stall no longer than that limit.
+    /// Share of answered requests that stall no longer than `load_stall_ms`.
     pub load_stall_share: f64,
 }
 
@@ -71,13 +71,13 @@
 /// How one request ended, as far as the objectives depend on it.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
-    /// Its priority, which is its class.
+    /// Priority of the request; requests are counted by priority.
     pub priority: Priority,
     /// Name of the caller.
     pub caller: CallerName,
     /// Name of the requested adapter or service.
     pub subject: String,
-    /// Reason why it got no complete answer; `None` if it got one.
+    /// Reason why the request got no complete answer; `None` if it got a complete one.
     pub failure: Option<&'static str>,
     /// Time until the first byte of the answer.
     pub first_byte: Duration,
--- a/crates/core/src/config/records.rs
+++ b/crates/core/src/config/records.rs
@@ -98,7 +98,7 @@
     pub method: String,
     /// Prefix of the path below the service; starts with `/`.
     pub path_prefix: String,
-    /// Whether running such a call twice does no harm.
+    /// Whether a call of this route may run twice without harm.
     pub idempotent: bool,
 }
 
--- a/crates/core/src/config/snapshot.rs
+++ b/crates/core/src/config/snapshot.rs
@@ -16,7 +16,7 @@
 /// Why a model selector cannot be resolved.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ResolveError {
-    /// No such adapter.
+    /// The configuration has no adapter of this name.
     UnknownAdapter,
     /// The adapter has no such version; holds the versions that it has.
     UnknownVersion(Vec<AdapterVersion>),
--- a/crates/core/src/protocol.rs
+++ b/crates/core/src/protocol.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Version of these messages; both ends must have the same one.
+/// Version of the messages between entries and agents; both processes must use the same one.
 pub const PROTOCOL_VERSION: u16 = 1;
 
 /// The work that a request asks a target to do.
--- a/crates/daemon/src/agent/targets.rs
+++ b/crates/daemon/src/agent/targets.rs
@@ -51,7 +51,7 @@
     "proxy-authenticate",
 ];
 
-/// Work for the target.
+/// A job at the target, sent by the duty that decides to the duty that calls the target.
 #[derive(Debug)]
 pub enum TargetJob {
     /// Run a request.
--- a/crates/daemon/src/entry/idempotency.rs
+++ b/crates/daemon/src/entry/idempotency.rs
@@ -72,7 +72,7 @@
     fn enqueue(self: &Rc<Self>, job: RecordJob) {
         let outage = self.failed_at.borrow().map(|failed_at| failed_at.elapsed());
         if let Some(since) = outage.filter(|since| *since < OUTAGE_BACKOFF) {
-            // Fails at once instead of after one more timeout.
+            // During the backoff a job fails at once; a write would only fail after one more timeout.
             let _ = job.reply.send(Err(OUTAGE_BACKOFF.saturating_sub(since)));
             return;
         }
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -218,7 +218,7 @@
         self.context.journal.finish(&self.record, end, status, self.age());
     }
 
-    /// Whether the call may be sent to another target although one may have run it.
+    /// Whether the call may be sent to another target although a previous target may have run it.
     pub(crate) fn may_retry(&self) -> bool {
         let runs = self.record.runs;
         self.time_left() > constants::SERVE_TIME
--- a/crates/daemon/src/router/journal.rs
+++ b/crates/daemon/src/router/journal.rs
@@ -56,7 +56,7 @@
 /// Phase of a call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum CallPhase {
-    /// It waits for a target, or for its adapter there.
+    /// The call waits for a target, or for its adapter at the chosen target.
     #[default]
     Waiting,
     /// It was sent to a target that has not answered yet.
--- a/crates/daemon/src/telemetry/names.rs
+++ b/crates/daemon/src/telemetry/names.rs
@@ -12,7 +12,7 @@
 pub const IN_FLIGHT: &str = "plantain_in_flight";
 /// Refused requests, by reason.
 pub const REFUSALS: &str = "plantain_refusals_total";
-/// Offers of a request after its first.
+/// Offers of requests to agents, without the first offer of each request.
 pub const RETRIES: &str = "plantain_retries_total";
 /// Share of the batch in use, sampled while the target runs anything.
 pub const BATCH_FILL_RATIO: &str = "plantain_batch_fill_ratio";
--- a/crates/net/src/caller.rs
+++ b/crates/net/src/caller.rs
@@ -123,7 +123,7 @@
 impl CallerWatch {
     /// Polls `connection` until it ends; returns `None` if its caller disconnected first.
     ///
-    /// Both are polled by one task, because they share the wakeups of one socket.
+    /// One task polls the connection and watches for the disconnect, because the two share the wakeups of one socket.
     pub async fn serve<C: Future>(&mut self, mut connection: Pin<&mut C>) -> Option<C::Output> {
         poll_fn(|context| {
             loop {
--- a/crates/net/src/platform.rs
+++ b/crates/net/src/platform.rs
@@ -19,7 +19,7 @@
 pub enum PlatformError {
     /// A conditional update was refused; holds the object's current version.
     Conflict(u64),
-    /// There is no such object.
+    /// The object does not exist.
     Missing,
     /// The platform refused the call with status 429; holds method and path.
     Busy(String),
--- a/crates/net/src/platform/records.rs
+++ b/crates/net/src/platform/records.rs
@@ -64,7 +64,7 @@
 /// A host, as the platform lists it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostRecord {
-    /// Name of the host; the slot on a target host has the same one.
+    /// Name of the host; the slot on a target host has the same name.
     pub name: String,
     /// Region of the host.
     pub region: RegionName,
--- a/crates/standin/src/cluster/plan.rs
+++ b/crates/standin/src/cluster/plan.rs
@@ -25,7 +25,7 @@
 /// First port of the proxies on the links to agents; those of services' agents follow those of
 /// engines' agents.
 pub const LINK_PORT: u16 = 20_000;
-/// First port of the control APIs of those proxies.
+/// First port of the control APIs of the proxies on the links to agents.
 pub const LINK_CONTROL_PORT: u16 = 21_000;
 /// First port that the cluster leaves to tests.
 pub const SPARE_PORT: u16 = 19_000;
--- a/crates/standin/src/faults/draw.rs
+++ b/crates/standin/src/faults/draw.rs
@@ -15,7 +15,7 @@
 
 /// Number of agents. The engines' agents have the lower indices; the services' agents follow.
 const AGENTS: usize = ENGINES + super::SERVICES;
-/// Probability of two concurrent faults.
+/// Probability that two faults are injected at the same time instead of one.
 const DOUBLE_SHARE: f64 = 0.25;
 
 /// Time during which a fault was active, relative to the start of the run.
