--- a/crates/core/src/agent/events.rs
+++ b/crates/core/src/agent/events.rs
@@ -18,7 +18,7 @@
     pub work: WorkId,
     /// Adapter or service that the request needs.
     pub item: WorkItem,
-    /// Whether running the request twice does no harm.
+    /// Whether the request may run twice without harm.
     pub idempotent: bool,
     /// Priority that the entry sent.
     pub priority: Priority,
--- a/crates/core/tests/core/entry.rs
+++ b/crates/core/tests/core/entry.rs
@@ -163,8 +163,8 @@
 }
 
 /// An agent that has just started refuses a few offers because it does not know its target yet, and no other
-/// agent is left. After the pause, requests must not be refused while a single one probes the agent: it
-/// answers, and refuses at once if its target is still down.
+/// agent is left. After the pause, requests must not be refused while a single one probes the agent: the
+/// agent is reachable, and it refuses them at once if its target is still down.
 #[test]
 fn a_target_that_was_down_is_open_to_all_again() {
     for reason in [RefusalReason::TargetDown, RefusalReason::NoLease] {
--- a/crates/daemon/src/router/connections.rs
+++ b/crates/daemon/src/router/connections.rs
@@ -150,7 +150,7 @@
         .await
         .wrap_err_with(|| format!("start HTTP with {address}"))?;
     spawn_local(async move {
-        // The call that waits for an answer gets the error; that of an idle connection is ignored.
+        // The call that waits for an answer gets the error; an error of an idle connection is ignored.
         let _ = connection.await;
     });
     Ok(sender)
--- a/crates/daemon/src/router/context/guards.rs
+++ b/crates/daemon/src/router/context/guards.rs
@@ -195,8 +195,8 @@
         let _ = timeout(limit, self.woken.notified()).await;
     }
 
-    /// Whether this waits for this version of the adapter at this target. A version announced during the wait needs a
-    /// new load request: the loader considers the old one fulfilled once the previous version is loaded.
+    /// Whether the guard waits for this version of the adapter at this target. A version announced during the wait
+    /// needs a new load request: the loader considers the old one fulfilled once the previous version is loaded.
     pub(crate) fn is_for(
         &self,
         incarnation: &TargetIncarnation,
--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -208,7 +208,7 @@
         self.record.note(age, step);
     }
 
-    /// Writes the call's log line. A call dropped before this is logged as left by its caller.
+    /// Writes the call's log line. A call that is dropped without a call of `finish` is logged as left by its caller.
     pub(crate) fn finish(&self, end: CallEnd, status: StatusCode) {
         self.write_line(end, status.as_u16());
     }
--- a/crates/daemon/src/router/peers.rs
+++ b/crates/daemon/src/router/peers.rs
@@ -48,7 +48,7 @@
 const BOOTSTRAP_LIMIT: Duration = Duration::from_millis(800);
 /// Maximum time by which an answer to a starting router is delayed while this router still reads the store.
 const READ_WAIT: Duration = Duration::from_millis(150);
-/// Time after the start before peers are queried, in which the store may answer.
+/// Time after its start for which a router without a bootstrap upstream waits for the store before it queries peers.
 const START_PAUSE: Duration = Duration::from_millis(250);
 /// Time after which a peer's unused connection is closed. Queries for changes come several times a second. A query
 /// for a snapshot goes to a random peer each time, so its connection is seldom used again.
--- a/crates/standin/tests/integration/services.rs
+++ b/crates/standin/tests/integration/services.rs
@@ -80,8 +80,8 @@
 }
 
 /// Guards against a late execution of a stamp that was reported as not run. The agent accepts the
-/// entry's offer, but its reply is lost, so the entry never releases the stamp to the service. The
-/// caller must get `outcome: not_run`, and the stamp must not run when the link works again.
+/// entry's offer, but the agent's reply is lost, so the entry never releases the stamp to the service.
+/// The caller must get `outcome: not_run`, and the stamp must not run when the link works again.
 #[tokio::test]
 async fn stamp_that_was_only_reserved_is_never_run() -> Result<()> {
     let mut plan = ClusterPlan::new(1, 1, &["kandy"]);
