--- a/crates/daemon/src/router/exchange.rs
+++ b/crates/daemon/src/router/exchange.rs
@@ -208,7 +208,7 @@
         self.record.note(age, step);
     }
 
-    /// Writes the call's log line. A call dropped before this is logged as left by its caller.
+    /// Writes the call's log line. A call that is dropped without a call of `finish` is logged as left by its caller.
     pub(crate) fn finish(&self, end: CallEnd, status: StatusCode) {
         self.write_line(end, status.as_u16());
     }
@@ -218,7 +218,7 @@
         self.context.journal.finish(&self.record, end, status, self.age());
     }
 
-    /// Whether the call may be sent to another target although one may have run it.
+    /// Whether the call may be sent to another target although a previous target may have run it.
     pub(crate) fn may_retry(&self) -> bool {
         let runs = self.record.runs;
         self.time_left() > constants::SERVE_TIME
