--- a/crates/core/src/direct/call.rs
+++ b/crates/core/src/direct/call.rs
@@ -11,7 +11,7 @@
 /// The adapter, or the base model itself, that a call needs.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ModelNeed {
-    /// The base model.
+    /// Name of the base model.
     pub base: BaseName,
     /// Adapter of the base model; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
@@ -51,9 +51,9 @@
 /// An adapter of a base model.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct AdapterId {
-    /// The base model.
+    /// Name of the base model that the adapter extends.
     pub base: BaseName,
-    /// The adapter.
+    /// Name of the adapter, unique within its base model.
     pub name: AdapterName,
 }
 
@@ -90,7 +90,7 @@
 /// What a router adds to a call that it forwards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ForwardTerms {
-    /// Id of the only target incarnation that may run the call.
+    /// Id of the only target that may run the call.
     pub instance: Arc<str>,
     /// Time left until the caller gives up.
     pub time_left: Duration,
--- a/crates/core/src/direct/directory.rs
+++ b/crates/core/src/direct/directory.rs
@@ -53,8 +53,9 @@
 
 /// Minimum pause between a router's probes of a lost store, if other routers would send it the changes.
 const PROBE_PAUSE: Duration = Duration::from_millis(1_500);
-/// The same pause lasts at least this long for each router of a higher rank, so that few routers of a zone probe.
-const POSITION_PAUSE: Duration = Duration::from_millis(250);
+/// Pause between a router's probes of a lost store for each router of a higher rank, if the product is above
+/// [`PROBE_PAUSE`]; few routers of a zone then probe the store.
+const PROBE_PAUSE_PER_POSITION: Duration = Duration::from_millis(250);
 
 /// Number of routers in the largest expected fleet.
 const LARGEST_FLEET: usize = 1_024;
@@ -209,7 +210,9 @@
             return Duration::ZERO;
         }
         let position = self.same_zone.position(own).unwrap_or(self.zone_routers);
-        PROBE_PAUSE.max(POSITION_PAUSE.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX)))
+        PROBE_PAUSE.max(
+            PROBE_PAUSE_PER_POSITION.saturating_mul(u32::try_from(position).unwrap_or(u32::MAX)),
+        )
     }
 }
 
@@ -280,7 +283,7 @@
     /// Upper bound of the number of routers; `counted` is the number known from loaders, `started` the start of
     /// this router.
     ///
-    /// Even if no loader has listed other routers, there may be some. They have reports in the store; until those are
+    /// Other routers may run although no loader has listed them. They have reports in the store; until the reports are
     /// read, the bound is the largest fleet.
     pub fn max_routers(&self, counted: usize, started: Timestamp, now: Timestamp) -> usize {
         let is_new = now.saturating_sub(started) < DISCOVERY_TIME;
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -22,10 +22,10 @@
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Longest retry-after time in a refusal; a longer estimate is unreliable.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Idle time after which a router drops the units that it holds beyond one slice.
+/// Time without calls under a limit after which a router drops its unused units of the limit beyond one slice.
 const SURPLUS_TTL: Duration = Duration::from_secs(1);
-/// Part of the limit that routers without a meter may use by random draws; the rest covers routers that draw a unit
-/// at the same time.
+/// Share of a small limit's rate that all routers together may use by random draws while no meter is reachable. The
+/// rest covers several routers that draw a unit at once.
 const DRAW_SHARE: f64 = 0.5;
 /// Time for which a drawn unit may be used.
 const DRAWN_TTL: Duration = Duration::from_secs(1);
--- a/crates/core/src/direct/limits/messages.rs
+++ b/crates/core/src/direct/limits/messages.rs
@@ -14,7 +14,7 @@
 /// Number that a meter assigns to a router on its first report.
 pub type EnrolmentId = u64;
 
-/// Tag of the meter that a target's loader runs; the same at all routers.
+/// Tag of the meter that a target's loader runs; all routers compute the same tag.
 pub fn meter_tag(target: &str) -> MeterTag {
     xxh3_64(target.as_bytes()) as MeterTag
 }
--- a/crates/core/src/direct/loader/load_limiter.rs
+++ b/crates/core/src/direct/loader/load_limiter.rs
@@ -20,8 +20,8 @@
 const BACKOFF: f64 = 0.8;
 /// Growth of the window, in loads, after as many uncongested loads as its size.
 const GROWTH: f64 = 1.0;
-/// The same growth before any load has taken too long (slow start): one engine's loads alone never congest the store,
-/// and a slowly growing window would make waiting calls late.
+/// Growth in place of [`GROWTH`] until the first load that takes too long (slow start): one engine's loads alone never
+/// congest the store, and a slowly growing window would make waiting calls late.
 const FIRST_GROWTH: f64 = 4.0;
 /// Factor on the shortest time after each load that took too long while the window was one: the store may
 /// have become slower permanently, and counts as twice as slow after two dozen such loads. With a larger
@@ -146,7 +146,7 @@
 /// Start of a load in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadStart {
-    /// When the engine accepted it.
+    /// When the engine accepted the load.
     pub(super) at: Timestamp,
     /// Whether it is expected to come from host memory.
     pub(super) from_host_memory: bool,
--- a/crates/core/src/direct/membership.rs
+++ b/crates/core/src/direct/membership.rs
@@ -40,7 +40,7 @@
         hasher.digest()
     }
 
-    /// Whether both can be the same incarnation: an unknown start matches any.
+    /// Whether `self` and `other` can be the same incarnation: an unknown start matches any.
     pub fn may_equal(&self, other: &Self) -> bool {
         let is_same_start = match (self.started, other.started) {
             (Some(own), Some(theirs)) => own == theirs,
@@ -74,7 +74,7 @@
 /// A base model that a target holds, with its adapters.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BaseHolding {
-    /// The base model.
+    /// Name of the base model.
     pub base: BaseName,
     /// Version of its weights.
     pub version: AdapterVersion,
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -36,9 +36,9 @@
 /// A router's standing request that the loader's engine hold an adapter.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadRequest {
-    /// The base model.
+    /// Name of the adapter's base model.
     pub base: BaseName,
-    /// The adapter.
+    /// Name of the requested adapter.
     pub adapter: AdapterName,
     /// Oldest version that may run the calls.
     pub version: AdapterVersion,
@@ -54,9 +54,9 @@
 /// Calls of a router that use an adapter at the loader's engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AdapterUse {
-    /// The base model.
+    /// Name of the adapter's base model.
     pub base: BaseName,
-    /// The adapter.
+    /// Name of the adapter that the calls use.
     pub adapter: AdapterName,
     /// Calls sent and not yet ended.
     pub running: u16,
@@ -69,7 +69,7 @@
 /// A base model that the loader may load on an empty engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BaseOffer {
-    /// The base model.
+    /// Name of the base model.
     pub base: BaseName,
     /// Size of its weights in MB.
     pub weights_mb: f32,
@@ -77,7 +77,7 @@
     pub adapter_mb: f32,
 }
 
-/// A router's state for one loader: all of its load requests and uses there.
+/// A router's state for one loader: all of its load requests, and its calls that use adapters, at the loader's engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouterNotice {
     /// Identifies one start of the router; a restarted router has another id.
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/notices.rs
@@ -17,11 +17,11 @@
 /// Minimum pause between notices to one loader; calls that begin or end within it are reported together. A new load
 /// request does not wait for it.
 const NOTICE_GAP: Duration = Duration::from_millis(100);
-/// Pause between notices to a loader at whose engine calls run and nothing changes. The loader drops a router's
-/// state after 2.5 s, and adapters in use by its calls would then be evicted.
+/// Interval of notices to a loader while this router's calls run at its engine and nothing changes. Without a notice
+/// the loader drops the router's state after 2.5 s, and adapters that the router's calls use would be evicted.
 const NOTICE_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between report requests to a loader where calls wait. The loader reports a completed load without a request,
-/// but not how much longer a load will take.
+/// Interval of report requests to a loader at which this router has load requests. The loader reports a completed load
+/// without a report request, but not how much longer a load will take.
 const WAIT_PAUSE: Duration = Duration::from_millis(300);
 
 /// The last notice to a loader.
--- a/crates/core/src/direct/proof.rs
+++ b/crates/core/src/direct/proof.rs
@@ -79,8 +79,8 @@
 
 /// The limit that an answer advertises for its target, if it is reliable.
 ///
-/// Only the outcome of a run can prove that there is no limit: a refusal may come from a part of the target
-/// that does not know of it.
+/// Only the outcome of a run can prove that there is no limit: a refusal may come from a part of the target that
+/// does not know the limit.
 pub fn limit_from_answer(proof: RunProof, head: &AnswerHead) -> Option<AdvertisedLimit> {
     let is_outcome = matches!(proof, RunProof::Succeeded | RunProof::Failed) && head.is_signed;
     match head.limit {
@@ -137,8 +137,8 @@
     }
 }
 
-/// Whether a call may be sent to another target after `proof`; `runs` counts the targets that ran it or may have run
-/// it.
+/// Whether a call may be sent to another target after `proof`; `runs` counts the targets that ran the call or may have
+/// run it.
 pub fn may_send_again(proof: RunProof, kind: CallKind, runs: u32, max_targets: u32) -> bool {
     match proof {
         RunProof::Succeeded => false,
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -23,14 +23,14 @@
 /// Extra cost of a load at a target that is not preferred, as a multiple of a load from the weight store. The store
 /// transfers the adapter once more, while the preferred target's host may have it in memory, and later calls to the
 /// preferred target do not profit: the fleet loses as much time as the call. The factor is above 1 because the engine
-/// also evicts an adapter that is preferred there.
+/// also evicts an adapter that prefers this target.
 const UNPREFERRED_LOAD_FACTOR: f64 = 1.6;
-/// The same factor for a load at the spare target, the one after the preferred ones. It takes their overflow, and
-/// thus later calls for the adapter too.
+/// Extra cost of a load at the spare target, the one after the preferred ones, as a multiple of a load from the weight
+/// store. The spare target takes the preferred ones' overflow, and thus later calls for the adapter too.
 const SPARE_LOAD_FACTOR: f64 = 1.0;
-/// A call that waits for its adapter at one target moves to another only if that costs less by this much: the load
-/// has begun, and a load at another target starts from the beginning.
-const MOVE_MS: f64 = 250.0;
+/// Difference in cost above which a call that waits for its adapter at one target moves to a cheaper one: the load has
+/// begun, and a load at the other target starts from the beginning.
+const MOVE_THRESHOLD_MS: f64 = 250.0;
 /// Cost of a target that needs a load and whose loader is silent: no process would order the load.
 const NO_LOADER_MS: f64 = 5_000.0;
 /// Cost of a load at a target that was recently saturated: the target may refuse the call although the adapter is
@@ -115,7 +115,7 @@
                     now,
                 ) + zone_cost(target, need)
                     + if waits_there {
-                        -MOVE_MS
+                        -MOVE_THRESHOLD_MS
                     } else {
                         slot_wait_cost(pool, target, adapter.as_ref(), now)
                     }
@@ -255,11 +255,12 @@
     let Some(spec) = pool.engine_of(target) else { return f64::from(active) * ACTIVE_MS };
     let used = report.map_or(0, |report| u64::from(report.kv_used));
     let wanted = u64::from(call.tokens_in + call.tokens_out);
-    let is_saturated = active >= spec.batch || used + wanted > spec.kv_tokens;
+    let exceeds_capacity = active >= spec.batch || used + wanted > spec.kv_tokens;
     // Queued calls start first, one for each run that ends.
-    let runs_before = queued + u32::from(is_saturated);
+    let runs_before = queued + u32::from(exceeds_capacity);
     // An engine preempts calls when its KV cache is full, and processes their prompts again.
-    let reprocessing = if is_saturated { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
+    let reprocessing =
+        if exceeds_capacity { f64::from(call.tokens_in) / TOKENS_PER_MS } else { 0.0 };
     f64::from(active) * ACTIVE_MS
         + f64::from(runs_before) * pool.wait_estimates().batch_wait_ms(spec.batch)
         + reprocessing
--- a/crates/core/src/direct/sharing.rs
+++ b/crates/core/src/direct/sharing.rs
@@ -89,9 +89,9 @@
 /// Whether a router needs a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChangeImportance {
-    /// Routers need it, so it must be passed on.
+    /// Routers need the change, so a relay must pass it on.
     Required,
-    /// It only saves a router a report request to a loader.
+    /// The change only saves a router a report request to a loader.
     Hint,
 }
 
--- a/crates/core/src/direct/sharing/source.rs
+++ b/crates/core/src/direct/sharing/source.rs
@@ -10,19 +10,21 @@
 const MAX_DENIALS: u32 = 2;
 /// Time for which a dropped upstream is not queried; if it has crashed, the directory no longer lists it after that.
 const UPSTREAM_AVOID_TIME: Duration = Duration::from_secs(3);
-/// Age up to which others rely on a watcher without answers from the store, as a share of the time after which
-/// a draining target must get no more calls. The store may become silent to one router and serve the others:
+/// Maximum age of a watcher's state up to which other routers rely on it, as a share of the drain time: the time after
+/// which a draining target must get no more calls. The store may stop answering one router and serve the others: the
 /// connections stay open, and that router's watches take seconds to time out.
 const WATCHER_FRESH_SHARE: f64 = 0.75;
-/// The same share for the state of a relay. It is larger, so that the relays find another watcher before the routers
-/// that query them turn to the store. The remaining time is for that query.
+/// Maximum age of a relay's state as a share of the drain time. It is larger than that of a watcher's state, so that
+/// the relays find another watcher before the routers that query them watch the store. The remaining time is for the
+/// query to that watcher.
 const RELAY_FRESH_SHARE: f64 = 0.85;
-/// The same share for the state of a router that queries a relay.
+/// Maximum age of the state of a router that queries a relay, as a share of the drain time.
 const LEAF_FRESH_SHARE: f64 = 0.92;
 /// Share of the drain time after which an undecided router of the highest rank watches the store, counted from its
 /// first list.
 const FIRST_SETTLE_SHARE: f64 = 0.15;
-/// The same share for a router of a lower rank, or one that knows no other routers.
+/// Share of the drain time after which an undecided router of a lower rank, or one that knows no other routers, watches
+/// the store, counted from its first list.
 const SETTLE_SHARE: f64 = 0.5;
 
 /// Where a router receives changes of the store.
@@ -73,9 +75,9 @@
     pub drain_time: Duration,
 }
 
-/// State machine that selects the source of one router.
+/// State machine that selects the source from which one router receives changes of the store.
 #[derive(Debug)]
-pub struct SourceMachine {
+pub struct SourceSelector {
     own: SocketAddr,
     source: StoreSource,
     /// Dropped upstreams, and until when each is not queried.
@@ -86,7 +88,7 @@
     listed_at: Option<Timestamp>,
 }
 
-impl SourceMachine {
+impl SourceSelector {
     /// Starts undecided; `own` is the address at which other routers query this one.
     pub fn new(own: SocketAddr) -> Self {
         let (source, avoided) = (StoreSource::Undecided, HashMap::new());
--- a/crates/core/src/direct/snapshot.rs
+++ b/crates/core/src/direct/snapshot.rs
@@ -23,7 +23,7 @@
     pub is_current: bool,
     /// The configuration, if it is newer than that of the querying router.
     pub config: Option<ConfigRecord>,
-    /// The list of targets; `None` if it was never read, or the querying router has the same.
+    /// The list of targets; `None` if it was never read, or the querying router has this list already.
     pub targets: Option<Vec<Arc<TargetEntry>>>,
     /// Newest versions of adapters.
     pub releases: Vec<(Arc<str>, Arc<str>, AdapterVersion)>,
@@ -49,7 +49,7 @@
         self.config.as_ref().map_or(0, |config| config.number)
     }
 
-    /// Whether both a configuration and a list of targets were read.
+    /// Whether a configuration and a list of targets have been read.
     pub fn is_complete(&self) -> bool {
         self.config.is_some() && self.has_targets
     }
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -71,7 +71,7 @@
 pub struct TargetState {
     /// Its entry in the list of targets.
     pub entry: Arc<TargetEntry>,
-    /// Calls of this router that are in flight there.
+    /// Calls of this router that are in flight at the target.
     pub in_flight: u32,
     /// Prompt tokens of those calls that have no first byte yet.
     pub prefill_tokens: u32,
@@ -212,7 +212,7 @@
         holding.adapters.get(&adapter.name).copied()
     }
 
-    /// Whether an adapter is being loaded at the target, or replaced there.
+    /// Whether the target is loading an adapter, or replacing it by another version.
     pub fn is_loading(&self, adapter: &AdapterId, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| {
             let mut loading = report.loading.iter();
--- a/crates/core/src/direct/targets.rs
+++ b/crates/core/src/direct/targets.rs
@@ -138,8 +138,8 @@
             .filter(|target| target.entry.incarnation.may_equal(incarnation))
     }
 
-    /// Mutable form of [`Self::target`]. Calls to an earlier incarnation may end after it, and must not count for the
-    /// next one.
+    /// Mutable form of [`Self::target`]. Calls to an earlier incarnation may end after its end, and must not count for
+    /// the next incarnation.
     pub fn target_mut(&mut self, incarnation: &TargetIncarnation) -> Option<&mut TargetState> {
         self.targets
             .get_mut(&incarnation.id)
@@ -314,9 +314,9 @@
         }
     }
 
-    /// Marks all but the latest incarnation at each address as superseded: an older one cannot listen there any more,
-    /// but its entry may stay in the list for long, and lists arrive in any order. An incarnation that was displaced
-    /// by another one's answer at its address does not supersede others.
+    /// Marks all but the latest incarnation at each address as superseded: an older one no longer listens there, but
+    /// its entry may stay in the list for long, and lists arrive in any order. An incarnation that was displaced by
+    /// another one's answer at its address does not supersede others.
     fn mark_superseded(&mut self) {
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
         // An entry of a service that is not configured was not written by a target.
--- a/crates/core/tests/core/direct/customers/ways.rs
+++ b/crates/core/tests/core/direct/customers/ways.rs
@@ -278,8 +278,8 @@
 }
 
 /// A customer's calls arrive at many routers, unevenly, and at other ones each second. Guards against meters that
-/// refuse calls below the limit, and against runs beyond limit and tolerance. Even shares prevent only the second
-/// fault; leases prevent both, but need calls to the store.
+/// refuse calls below the limit, and against runs beyond limit and tolerance. Even shares prevent only the
+/// latter; leases prevent the refusals too, but need calls to the store.
 #[test]
 fn slices_of_meters_serve_a_limit_best() {
     println!(
--- a/crates/core/tests/core/direct/directory.rs
+++ b/crates/core/tests/core/direct/directory.rs
@@ -144,7 +144,7 @@
 }
 
 /// A zone is cut off. Its routers must still count in the shares of a common budget for a while, since they
-/// keep using it, but not forever.
+/// keep using the budget, but not forever.
 #[test]
 fn routers_of_a_partitioned_zone_count_for_a_while() {
     let mut there = PresenceRegistry::default();
--- a/crates/core/tests/core/direct/load_shedding.rs
+++ b/crates/core/tests/core/direct/load_shedding.rs
@@ -102,7 +102,7 @@
 }
 
 /// All targets of a service take five times as long as usual, and two thirds of their slots are free.
-/// Refusing calls would not help; it does at the same latency with all slots taken.
+/// Refusing calls would not lower the latency. With all slots in use it would, so calls must be refused then.
 #[test]
 fn slow_targets_with_free_slots_cause_no_shedding() {
     const ROUTERS: usize = 4;
--- a/crates/core/tests/core/direct/sharing/zone.rs
+++ b/crates/core/tests/core/direct/sharing/zone.rs
@@ -8,7 +8,7 @@
         membership::{BaseHolding, ListChange, TargetEntry},
         sharing::{
             ChangeImportance, ChangeLog, LoggedChange, SharedChange, SharedDelta,
-            source::{SourceMachine, SourceView, StoreSource, UpstreamReply},
+            source::{SourceSelector, SourceView, StoreSource, UpstreamReply},
         },
     },
     ids::ZoneName,
@@ -52,7 +52,7 @@
 }
 
 struct Router {
-    machine: SourceMachine,
+    selector: SourceSelector,
     peer_table: RouterTable,
     view: PeerView,
     log: ChangeLog,
@@ -158,7 +158,7 @@
     /// Routers that watch the store.
     pub fn watchers(&self) -> Vec<usize> {
         let is_watcher =
-            |index: &usize| self.routers[*index].machine.source() == StoreSource::Store;
+            |index: &usize| self.routers[*index].selector.source() == StoreSource::Store;
         (0..self.routers.len()).filter(is_watcher).collect()
     }
 
@@ -228,18 +228,18 @@
             synced_at: ms(router.synced_at),
             drain_time: ms(DRAIN),
         };
-        if router.machine.update(&view, now).is_some() {
+        if router.selector.update(&view, now).is_some() {
             router.next_watch = self.now;
         }
         match router.pending {
             Some(pending) => self.advance_query(index, pending),
             None if self.now >= router.next_query => {
-                let upstream = router.machine.upstream(&router.view.same_zone).map(router_index);
+                let upstream = router.selector.upstream(&router.view.same_zone).map(router_index);
                 router.pending = upstream.map(|upstream| PendingQuery { upstream, sent: self.now });
             }
             None => {}
         }
-        if self.routers[index].machine.source() == StoreSource::Store {
+        if self.routers[index].selector.source() == StoreSource::Store {
             self.watch(index);
         }
     }
@@ -286,7 +286,7 @@
                 return;
             }
             UpstreamReply::Silent
-        } else if upstream.machine.source() == StoreSource::Undecided {
+        } else if upstream.selector.source() == StoreSource::Undecided {
             UpstreamReply::Denied
         } else if !has_changes && waited < QUERY_WAIT {
             return;
@@ -303,7 +303,7 @@
         let now = self.now;
         let router = &mut self.routers[index];
         router.pending = None;
-        let is_dropped = router.machine.apply_reply(address(pending.upstream), reply, ms(now));
+        let is_dropped = router.selector.apply_reply(address(pending.upstream), reply, ms(now));
         if reply != UpstreamReply::Changes && !is_dropped {
             router.next_query = now + RETRY_PAUSE;
         }
@@ -311,7 +311,7 @@
 
     fn is_too_stale(&self, index: usize) -> bool {
         let router = &self.routers[index];
-        let max_staleness = router.machine.source().max_staleness(ms(DRAIN));
+        let max_staleness = router.selector.source().max_staleness(ms(DRAIN));
         ms(self.now - router.synced_at) >= max_staleness
     }
 
@@ -342,7 +342,7 @@
 
 fn new_router(index: usize, now: u64) -> Router {
     Router {
-        machine: SourceMachine::new(address(index)),
+        selector: SourceSelector::new(address(index)),
         peer_table: RouterTable::default(),
         view: PeerView::default(),
         log: ChangeLog::default(),
--- a/crates/daemon/src/router/sharing.rs
+++ b/crates/daemon/src/router/sharing.rs
@@ -11,7 +11,7 @@
         membership::LAPSE_GRACE,
         sharing::{
             KindDelta, SharedDelta,
-            source::{SourceMachine, SourceView, UpstreamReply},
+            source::{SourceSelector, SourceView, UpstreamReply},
         },
     },
     ids::Timestamp,
@@ -42,8 +42,8 @@
 
 /// Polls the upstream, whenever there is one, until the process ends.
 pub(super) async fn run(context: Rc<ControlContext>) {
-    let machine = SourceMachine::new(context.own_address());
-    let mut poller = UpstreamPoller { context, client: HttpClient::new(), machine };
+    let selector = SourceSelector::new(context.own_address());
+    let mut poller = UpstreamPoller { context, client: HttpClient::new(), selector };
     loop {
         poller.step().await;
     }
@@ -52,7 +52,7 @@
 struct UpstreamPoller {
     context: Rc<ControlContext>,
     client: HttpClient,
-    machine: SourceMachine,
+    selector: SourceSelector,
 }
 
 impl UpstreamPoller {
@@ -64,12 +64,12 @@
             synced_at: self.context.confirmed_at.get(),
             drain_time: self.context.drain_time(),
         };
-        if let Some(reason) = self.machine.update(&view, clock::now()) {
+        if let Some(reason) = self.selector.update(&view, clock::now()) {
             info!(self.context.logger, "store followed directly"; "step" => "sharing",
                 "reason" => reason);
-            self.context.set_source(self.machine.source());
+            self.context.set_source(self.selector.source());
         }
-        match self.machine.upstream(&order) {
+        match self.selector.upstream(&order) {
             Some(upstream) => self.poll(upstream).await,
             None => sleep(POLL_PAUSE).await,
         }
@@ -80,8 +80,8 @@
             .await
         {
             Ok(UpstreamAnswer::Changes(delta)) => {
-                self.machine.apply_reply(upstream, UpstreamReply::Changes, clock::now());
-                if self.context.set_source(self.machine.source()) {
+                self.selector.apply_reply(upstream, UpstreamReply::Changes, clock::now());
+                if self.context.set_source(self.selector.source()) {
                     info!(self.context.logger, "store followed through a router"; "step" => "sharing",
                         "peer" => %upstream);
                 }
@@ -96,7 +96,7 @@
             }
             Err(error) => (UpstreamReply::Silent, format!("{error:#}")),
         };
-        if self.machine.apply_reply(upstream, reply, clock::now()) {
+        if self.selector.apply_reply(upstream, reply, clock::now()) {
             warn!(self.context.logger, "upstream left"; "step" => "sharing", "peer" => %upstream,
                 "reason" => reason);
         } else {
