--- a/crates/core/src/direct/limits/account.rs
+++ b/crates/core/src/direct/limits/account.rs
@@ -29,8 +29,9 @@
 const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Requests a second, from all routers together, to a meter that has no units left of a limit.
 const REFUSED_REQUEST_RATE: f64 = 100.0;
-/// Requests a second to such a meter for each unit a second of the limit. The product applies if it is above
-/// [`REFUSED_REQUEST_RATE`]: routers must request new units soon after the meter's bucket is refilled.
+/// Requests a second to a meter that has no units left of a limit, for each unit a second of the limit. The product
+/// applies if it is above [`REFUSED_REQUEST_RATE`]: routers must request new units soon after the meter's bucket is
+/// refilled.
 const REFUSED_REQUESTS_PER_UNIT: f64 = 4.0;
 /// Shortest pause after a refusal.
 const MIN_REFUSAL_PAUSE: Duration = Duration::from_millis(100);
--- a/crates/core/src/direct/limits/account/state.rs
+++ b/crates/core/src/direct/limits/account/state.rs
@@ -43,13 +43,13 @@
 #[derive(Debug)]
 pub(super) struct LimitAccount {
     pub(super) rule: LimitRule,
-    /// Seed of the draws made while there is no meter.
+    /// Seed of the random draws made while no meter is reachable.
     seed: u64,
     /// Units that may be used without a request; below 0 if calls were admitted before their grant.
     pub(super) balance: f64,
     pub(super) window: UsageWindow,
     pub(super) meter: Option<MeterTag>,
-    /// Since when there is no meter.
+    /// Since when no meter is reachable.
     pub(super) meterless_since: Timestamp,
     pub(super) refilled: Timestamp,
     /// When it last drew a unit without a meter.
--- a/crates/core/src/direct/loader/load_limiter.rs
+++ b/crates/core/src/direct/loader/load_limiter.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// For an engine that ran before, whose host may have any adapter in memory. If loads from there counted
-    /// as loads from the store, all later loads from the store would look congested.
+    /// For an engine that ran before, whose host may have any adapter in memory. If loads from host memory
+    /// counted as loads from the store, all later loads from the store would look congested.
     #[must_use]
     pub fn with_unknown_memory(mut self) -> Self {
         self.unknown = UNKNOWN_LOADS;
--- a/crates/core/src/direct/messages.rs
+++ b/crates/core/src/direct/messages.rs
@@ -134,7 +134,7 @@
     pub loading: Vec<(BaseName, AdapterName)>,
     /// Expected time in ms of a load from the weight store.
     pub load_ms: u16,
-    /// Wait in ms before such a load could begin.
+    /// Wait in ms before a new load from the weight store could begin.
     pub queue_ms: u16,
     /// Calls that the engine runs.
     pub active: u16,
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -23,7 +23,7 @@
 /// Extra cost of a load at a target that is not preferred, as a multiple of a load from the weight store. The store
 /// transfers the adapter once more, while the preferred target's host may have it in memory, and later calls to the
 /// preferred target do not profit: the fleet loses as much time as the call. The factor is above 1 because the engine
-/// also evicts an adapter that prefers this target.
+/// also evicts an adapter for which this target is preferred.
 const UNPREFERRED_LOAD_FACTOR: f64 = 1.6;
 /// Extra cost of a load at the spare target, the one after the preferred ones, as a multiple of a load from the weight
 /// store. The spare target takes the preferred ones' overflow, and thus later calls for the adapter too.
@@ -296,7 +296,7 @@
     if target.is_loading(adapter, now) {
         return unpreferred + load * LOADING_SHARE;
     }
-    // A call that waits there already is itself part of the queue.
+    // A call that waits at the target already is itself part of the queue.
     let queue = if waits_there { 0.0 } else { f64::from(report.queue_ms) };
     unpreferred + load + queue
 }
--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -16,8 +16,8 @@
 /// Age after which a loader's report no longer describes its engine: within this time, an engine under demand for
 /// other adapters may replace most of its unused ones.
 pub const REPORT_TTL: Duration = Duration::from_millis(2_500);
-/// Age up to which a report's holdings are used without a new report. If the adapter was evicted meanwhile, the call
-/// is refused there, and the fleet spends one of its retries.
+/// Age up to which a report's holdings are used without a new report. If the adapter was evicted meanwhile, the target
+/// refuses the call, and the fleet spends one of its retries.
 const SUFFICIENT_TTL: Duration = Duration::from_millis(300);
 /// Time without an answer after which a loader counts as silent. It answers within a millisecond, but a host that has
 /// used up its CPU quota may be throttled for the rest of a 100 ms period.
--- a/crates/core/src/direct/target_limit.rs
+++ b/crates/core/src/direct/target_limit.rs
@@ -100,7 +100,7 @@
         std::mem::replace(&mut self.rate, other.rate) != other.rate
     }
 
-    /// Whether updates of it are sent to other processes: there is a limit, or one ended less than `END_TTL` ago.
+    /// Whether updates of the limit are sent to other processes: it applies, or it ended less than `END_TTL` ago.
     pub fn is_reported(&self, now: Timestamp) -> bool {
         let is_recent = |ended: Timestamp| now.saturating_sub(ended) < END_TTL;
         self.rate.is_some() || self.ended.is_some_and(is_recent)
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 struct ReceivedLimit {
     known: KnownLimit,
-    /// When a router last sent an update of it.
+    /// When a router last sent an update of the limit.
     received: Timestamp,
 }
 
