--- a/crates/core/src/direct/target.rs
+++ b/crates/core/src/direct/target.rs
@@ -16,8 +16,8 @@
 /// Age after which a loader's report no longer describes its engine: within this time, an engine under demand for
 /// other adapters may replace most of its unused ones.
 pub const REPORT_TTL: Duration = Duration::from_millis(2_500);
-/// Age up to which a report's holdings are used without a new report. If the adapter was evicted meanwhile, the call
-/// is refused there, and the fleet spends one of its retries.
+/// Age up to which a report's holdings are used without a new report. If the adapter was evicted meanwhile, the target
+/// refuses the call, and the fleet spends one of its retries.
 const SUFFICIENT_TTL: Duration = Duration::from_millis(300);
 /// Time without an answer after which a loader counts as silent. It answers within a millisecond, but a host that has
 /// used up its CPU quota may be throttled for the rest of a 100 ms period.
@@ -71,7 +71,7 @@
 pub struct TargetState {
     /// Its entry in the list of targets.
     pub entry: Arc<TargetEntry>,
-    /// Calls of this router that are in flight there.
+    /// Calls of this router that are in flight at the target.
     pub in_flight: u32,
     /// Prompt tokens of those calls that have no first byte yet.
     pub prefill_tokens: u32,
@@ -212,7 +212,7 @@
         holding.adapters.get(&adapter.name).copied()
     }
 
-    /// Whether an adapter is being loaded at the target, or replaced there.
+    /// Whether the target is loading an adapter, or replacing it by another version.
     pub fn is_loading(&self, adapter: &AdapterId, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| {
             let mut loading = report.loading.iter();
